--- a/internal/bench/replay/caller.go
+++ b/internal/bench/replay/caller.go
@@ -118,7 +118,7 @@
 
 func (t *try) syn(count uint32) {
 	if t.up == nil && !t.over {
-		t.send(model.Segment{Flow: t.key, Open: true, Copy: count})
+		t.send(model.Segment{Flow: t.key, Syn: true, Retransmission: count})
 	}
 }
 
@@ -152,7 +152,7 @@
 // ask sends the request's data, and again until the upstream has confirmed it.
 func (t *try) ask(wait time.Duration) {
 	r := t.request
-	t.send(model.Segment{Flow: t.key, Answers: true, Tag: t.tag, Position: t.position, Received: t.received, Size: requestSize})
+	t.send(model.Segment{Flow: t.key, HasAck: true, Tag: t.tag, Seq: t.position, AckSeq: t.received, Size: requestSize})
 	t.w.after(wait, func() {
 		if !t.heard && !t.over && !r.done && t.request == r {
 			t.ask(min(2*wait, repeatLimit))
@@ -171,7 +171,7 @@
 	}
 	t.position += requestSize
 	t.received += requestSize
-	t.send(model.Segment{Flow: t.key, Answers: true, Ends: t.once, Tag: t.tag, Position: t.position, Received: t.received})
+	t.send(model.Segment{Flow: t.key, HasAck: true, Fin: t.once, Tag: t.tag, Seq: t.position, AckSeq: t.received})
 	if t.once {
 		t.close()
 	}
--- a/internal/bench/replay/instance.go
+++ b/internal/bench/replay/instance.go
@@ -54,7 +54,7 @@
 			Policy: in.w.cfg.Policy, Without: in.w.cfg.Without,
 		})
 		in.engine.SetRoutes(routes())
-		in.engine.SetPlace(model.Place{Index: in.index, Of: in.w.p.Instances}, in.now().Add(in.w.p.Length))
+		in.engine.SetPlace(model.Ordinal{Index: in.index, Count: in.w.p.Instances}, in.now().Add(in.w.p.Length))
 		in.install()
 		in.engine.SetReady(in.now())
 		in.schedule(in.w.now)
@@ -86,7 +86,7 @@
 
 // now is the instant on the instance's clock, which is past the grace of a start at once.
 func (in *instance) now() model.Instant {
-	return in.w.now.Add(roster.LapseGrace + time.Second)
+	return in.w.now.Add(roster.OutageGrace + time.Second)
 }
 
 // check plays the routers' readiness checks.
@@ -150,7 +150,7 @@
 	const regular = 100 * time.Millisecond
 	at := now.Add(regular)
 	if next, ok := in.engine.Next(); ok {
-		at = min(at, max(next.Add(-roster.LapseGrace-time.Second), now))
+		at = min(at, max(next.Add(-roster.OutageGrace-time.Second), now))
 	}
 	if in.tick > now && in.tick <= at {
 		return
@@ -212,7 +212,7 @@
 		return
 	}
 	// Without a caller's packet, the engine sends the opening packet on by itself.
-	seg := model.Segment{Flow: a.Flow, Open: true}
+	seg := model.Segment{Flow: a.Flow, Syn: true}
 	if t != nil {
 		seg = t.packet
 	}
--- a/internal/bench/replay/upstream.go
+++ b/internal/bench/replay/upstream.go
@@ -90,10 +90,10 @@
 		return
 	}
 	switch {
-	case seg.Open:
+	case seg.Syn:
 		u.half[seg.Flow] = true
 		u.tell(func() { t.opened(u, seg.Tag) })
-	case seg.Aborts:
+	case seg.Reset:
 		delete(u.flows, seg.Flow)
 	case u.flows[seg.Flow] == nil && !u.half[seg.Flow]:
 		u.tell(t.wasReset)
@@ -103,7 +103,7 @@
 		if seg.Size > 0 {
 			u.take(t)
 		}
-		if seg.Ends {
+		if seg.Fin {
 			delete(u.flows, seg.Flow)
 		}
 	}
--- a/internal/core/allot/allot.go
+++ b/internal/core/allot/allot.go
@@ -7,28 +7,28 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// Cold is one cold upstream as one instance sees it.
-type Cold struct {
+// ColdUpstream is one cold upstream as one instance sees it.
+type ColdUpstream struct {
 	Upstream model.UpstreamID
-	// Bears is how many flows it may get in one window, over all instances.
-	Bears int
+	// Capacity is how many flows it may get in one window, over all instances.
+	Capacity int
 	// Local is set if it is in the instance's own failure domain.
 	Local bool
 	// Domains is the number of failure domains, which every instance counts alike; at least one.
 	Domains int
-	// Place is the number of the instance among those of its failure domain.
-	Place model.Place
+	// Ordinal is the number of the instance among those of its failure domain.
+	Ordinal model.Ordinal
 }
 
 // Share returns how many flows this instance may send to the upstream in one window. Instances of the upstream's failure
 // domain get half of what it bears, those of the others divide the rest; an instance without a number gets none.
-func (c Cold) Share() int {
+func (c ColdUpstream) Share() int {
 	budget := c.budget()
 	switch {
-	case c.Place.Of == 0 || budget <= 0:
+	case c.Ordinal.Count == 0 || budget <= 0:
 		return 0
-	case budget >= c.Place.Of:
-		return budget / c.Place.Of
+	case budget >= c.Ordinal.Count:
+		return budget / c.Ordinal.Count
 	case c.rank() < budget:
 		return 1
 	default:
@@ -37,16 +37,16 @@
 }
 
 // budget returns what the upstream may get from all instances of one failure domain.
-func (c Cold) budget() int {
-	home := c.Bears
+func (c ColdUpstream) budget() int {
+	home := c.Capacity
 	if c.Domains > 1 {
-		home = (c.Bears + 1) / 2
+		home = (c.Capacity + 1) / 2
 	}
 	switch {
 	case c.Local:
 		return home
 	case c.Domains > 1:
-		return (c.Bears - home) / (c.Domains - 1)
+		return (c.Capacity - home) / (c.Domains - 1)
 	default:
 		return 0
 	}
@@ -54,11 +54,11 @@
 
 // rank returns how many numbers of the failure domain come before the instance's own for this upstream. One more number
 // takes the turn of one instance at most.
-func (c Cold) rank() (before int) {
+func (c ColdUpstream) rank() (before int) {
 	key := xxhash.Sum64String(string(c.Upstream))
-	own := turn(key, c.Place.Index)
-	for n := range c.Place.Of {
-		if n != c.Place.Index && turn(key, n) < own {
+	own := turn(key, c.Ordinal.Index)
+	for n := range c.Ordinal.Count {
+		if n != c.Ordinal.Index && turn(key, n) < own {
 			before++
 		}
 	}
--- a/internal/core/allot/allot_test.go
+++ b/internal/core/allot/allot_test.go
@@ -16,21 +16,21 @@
 // TestShare checks that all instances of all failure domains together never get more than an upstream bears.
 func TestShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := allot.Cold{
+		c := allot.ColdUpstream{
 			Upstream: model.UpstreamID(rapid.StringN(1, 8, -1).Draw(t, "upstream")),
-			Bears:    rapid.IntRange(0, 40).Draw(t, "bears"),
+			Capacity: rapid.IntRange(0, 40).Draw(t, "bears"),
 			Domains:  rapid.IntRange(1, 12).Draw(t, "domains"),
 		}
 		sum := 0
 		for d := range c.Domains {
 			of := rapid.IntRange(0, 30).Draw(t, "instances")
 			for n := range of {
-				c.Local, c.Place = d == 0, model.Place{Index: n, Of: of}
+				c.Local, c.Ordinal = d == 0, model.Ordinal{Index: n, Count: of}
 				sum += c.Share()
 			}
 		}
-		if sum > c.Bears {
-			t.Fatalf("%d flows for an upstream that bears %d", sum, c.Bears)
+		if sum > c.Capacity {
+			t.Fatalf("%d flows for an upstream that bears %d", sum, c.Capacity)
 		}
 	})
 }
@@ -42,9 +42,9 @@
 	got := make([]int, instances)
 	for u := range upstreams {
 		for n := range instances {
-			c := allot.Cold{
-				Upstream: model.UpstreamID(fmt.Sprintf("up-%d", u)), Bears: 5, Local: true, Domains: 4,
-				Place: model.Place{Index: n, Of: instances},
+			c := allot.ColdUpstream{
+				Upstream: model.UpstreamID(fmt.Sprintf("up-%d", u)), Capacity: 5, Local: true, Domains: 4,
+				Ordinal: model.Ordinal{Index: n, Count: instances},
 			}
 			got[n] += c.Share()
 		}
@@ -67,13 +67,13 @@
 // holder is one instance with what it believes.
 type holder struct {
 	id    model.InstanceID
-	place model.Place
+	place model.Ordinal
 	until model.Instant
 	asked model.Instant
 	gone  bool
 	// cut is set while the store does not answer the instance.
 	cut  bool
-	book *allot.Book
+	book *allot.Allocator
 	// seat is what the instance last read of who reads.
 	reading bool
 	read    model.Instant
@@ -86,7 +86,7 @@
 		now := model.Instant(time.Minute)
 		var all []*holder
 		for n := range most {
-			h := &holder{id: model.InstanceID(fmt.Sprint(n)), book: allot.NewBook(allot.BookConfig{Life: life, Trust: trust})}
+			h := &holder{id: model.InstanceID(fmt.Sprint(n)), book: allot.NewAllocator(allot.AllocatorConfig{OrdinalTTL: life, ConfirmationTTL: trust})}
 			all = append(all, h)
 		}
 		seat := 0
@@ -115,7 +115,7 @@
 				// An instance may ask one that has read for the domain until lately.
 				peer := all[rapid.SampledFrom([]int{seat, seat, n}).Draw(t, "asked")]
 				if !peer.gone {
-					h.asked, h.place, h.until = now, peer.book.Place(now, h.id), now.Add(believed)
+					h.asked, h.place, h.until = now, peer.book.Assign(now, h.id), now.Add(believed)
 				}
 			}
 			checkNumbers(t, now, all)
@@ -126,7 +126,7 @@
 func checkNumbers(t *rapid.T, now model.Instant, all []*holder) {
 	owner := map[int]model.InstanceID{}
 	for _, h := range all {
-		if h.place.Of == 0 || now >= h.until {
+		if h.place.Count == 0 || now >= h.until {
 			continue
 		}
 		if other, taken := owner[h.place.Index]; taken {
@@ -135,12 +135,12 @@
 		owner[h.place.Index] = h.id
 	}
 	for _, h := range all {
-		if h.place.Of == 0 || now >= h.until {
+		if h.place.Count == 0 || now >= h.until {
 			continue
 		}
 		for n, id := range owner {
-			if n >= h.place.Of {
-				t.Fatalf("%s has number %d, and %s believes in %d only", id, n, h.id, h.place.Of)
+			if n >= h.place.Count {
+				t.Fatalf("%s has number %d, and %s believes in %d only", id, n, h.id, h.place.Count)
 			}
 		}
 	}
--- a/internal/core/choose/budget.go
+++ b/internal/core/choose/budget.go
@@ -5,8 +5,8 @@
 	percentPerUnit = 100.0
 )
 
-// Budget bounds second tries to a share of first ones; a small burst is always there.
-type Budget struct {
+// RetryBudget bounds second tries to a share of first ones; a small burst is always there.
+type RetryBudget struct {
 	// Percent is the share of first tries that may be repeated.
 	Percent int
 	// credit is at most budgetBurst.
@@ -14,14 +14,14 @@
 	filled bool
 }
 
-// Earn adds the credit of one first try.
-func (b *Budget) Earn() {
+// Deposit adds the credit of one first try.
+func (b *RetryBudget) Deposit() {
 	b.fill()
 	b.credit = min(b.credit+float64(b.Percent)/percentPerUnit, budgetBurst)
 }
 
-// Spend takes the credit of one second try; it reports false when there is none.
-func (b *Budget) Spend() bool {
+// TryWithdraw takes the credit of one second try; it reports false when there is none.
+func (b *RetryBudget) TryWithdraw() bool {
 	b.fill()
 	if b.credit < 1 {
 		return false
@@ -30,7 +30,7 @@
 	return true
 }
 
-func (b *Budget) fill() {
+func (b *RetryBudget) fill() {
 	if !b.filled {
 		b.credit, b.filled = budgetBurst, true
 	}
--- a/internal/core/choose/choose.go
+++ b/internal/core/choose/choose.go
@@ -79,13 +79,13 @@
 	firstGuess = 20 * time.Millisecond
 )
 
-// Speed follows the service time of one upstream; one sample moves it little.
-type Speed struct {
+// LatencyAverage follows the service time of one upstream; one sample moves it little.
+type LatencyAverage struct {
 	mean float64
 }
 
 // Observe adds the time that one request took.
-func (s *Speed) Observe(d time.Duration) {
+func (s *LatencyAverage) Observe(d time.Duration) {
 	sample := max(float64(d), 1)
 	if s.mean == 0 {
 		s.mean = sample
@@ -96,7 +96,7 @@
 }
 
 // Mean returns the expected time of one request.
-func (s *Speed) Mean() time.Duration {
+func (s *LatencyAverage) Mean() time.Duration {
 	if s.mean == 0 {
 		return firstGuess
 	}
--- a/internal/core/choose/choose_test.go
+++ b/internal/core/choose/choose_test.go
@@ -42,16 +42,16 @@
 
 func TestBudget(t *testing.T) {
 	is := is.New(t)
-	b := choose.Budget{Percent: 10}
+	b := choose.RetryBudget{Percent: 10}
 	spent := 0
-	for b.Spend() {
+	for b.TryWithdraw() {
 		spent++
 	}
 	is.Equal(spent, 10)
 	for range 100 {
-		b.Earn()
+		b.Deposit()
 	}
-	for b.Spend() {
+	for b.TryWithdraw() {
 		spent++
 	}
 	is.True(spent >= 19 && spent <= 20)
@@ -60,7 +60,7 @@
 // TestSpeed checks that one odd sample moves the mean little and many move it all the way.
 func TestSpeed(t *testing.T) {
 	is := is.New(t)
-	var s choose.Speed
+	var s choose.LatencyAverage
 	s.Observe(10 * time.Millisecond)
 	s.Observe(10 * time.Second)
 	is.True(s.Mean() <= 12*time.Millisecond)
--- a/internal/core/direct/bench_test.go
+++ b/internal/core/direct/bench_test.go
@@ -34,9 +34,9 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now = now.Add(time.Millisecond)
-				seg := model.Segment{Flow: benchFlow(i), Open: true, Raw: []byte{1}}
+				seg := model.Segment{Flow: benchFlow(i), Syn: true, Raw: []byte{1}}
 				e.Packet(now, &seg)
-				seg = model.Segment{Flow: benchFlow(i), Aborts: true, Answers: true}
+				seg = model.Segment{Flow: benchFlow(i), Reset: true, HasAck: true}
 				e.Packet(now, &seg)
 			}
 		})
@@ -47,12 +47,12 @@
 func BenchmarkRelay(b *testing.B) {
 	e := benchEngine(14)
 	now := model.Instant(time.Minute)
-	seg := model.Segment{Flow: benchFlow(1), Answers: true, Tag: e.Roster().Of("desk")[0].Tag, Position: 1, Received: 1, Size: 100, Raw: []byte{1}}
+	seg := model.Segment{Flow: benchFlow(1), HasAck: true, Tag: e.Roster().ByService("desk")[0].Tag, Seq: 1, AckSeq: 1, Size: 100, Raw: []byte{1}}
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		seg.Position += 100
-		seg.Received += 50
+		seg.Seq += 100
+		seg.AckSeq += 50
 		e.Packet(now, &seg)
 		e.Samples()
 	}
@@ -64,12 +64,12 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
 				e := benchEngine(14)
-				tag := e.Roster().Of("desk")[0].Tag
+				tag := e.Roster().ByService("desk")[0].Tag
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				for i := range n {
-					e.Packet(model.Instant(time.Minute), &model.Segment{Flow: benchFlow(i), Answers: true, Tag: tag, Position: 1, Received: 1, Size: 100, Raw: []byte{1}})
+					e.Packet(model.Instant(time.Minute), &model.Segment{Flow: benchFlow(i), HasAck: true, Tag: tag, Seq: 1, AckSeq: 1, Size: 100, Raw: []byte{1}})
 					e.Samples()
 				}
 				runtime.GC()
--- a/internal/core/direct/cold.go
+++ b/internal/core/direct/cold.go
@@ -24,7 +24,7 @@
 }
 
 // SetPlace notes the number of this instance among those of its failure domain, and until when to believe in it.
-func (e *Engine) SetPlace(p model.Place, until model.Instant) {
+func (e *Engine) SetPlace(p model.Ordinal, until model.Instant) {
 	e.place, e.placeUntil = p, until
 }
 
@@ -33,12 +33,12 @@
 	if now >= e.placeUntil {
 		return 0
 	}
-	return allot.Cold{
+	return allot.ColdUpstream{
 		Upstream: u.ID,
-		Bears:    int(e.limits[u.Service].ColdRate*e.cfg.Limits.ColdFactor + e.cfg.Limits.ColdSlack),
+		Capacity: int(e.limits[u.Service].ColdRate*e.cfg.Limits.ColdFactor + e.cfg.Limits.ColdSlack),
 		Local:    u.Domain == e.cfg.Domain,
 		Domains:  e.cfg.Limits.Domains,
-		Place:    e.place,
+		Ordinal:  e.place,
 	}.Share()
 }
 
--- a/internal/core/direct/cold_test.go
+++ b/internal/core/direct/cold_test.go
@@ -13,17 +13,17 @@
 
 // TestColdShare checks how much of what a cold upstream bears one instance takes.
 func TestColdShare(t *testing.T) {
-	alone := model.Place{Of: 1}
+	alone := model.Ordinal{Count: 1}
 	cases := map[string]struct {
 		rate   float64
 		domain model.DomainID
-		place  model.Place
+		place  model.Ordinal
 		late   time.Duration
 		want   int
 	}{
 		"only the slack, alone in the domain": {place: alone, want: 3},
 		"a rate of ten":                       {rate: 10, place: alone, want: 10},
-		"two in the domain":                   {rate: 10, place: model.Place{Index: 1, Of: 2}, want: 5},
+		"two in the domain":                   {rate: 10, place: model.Ordinal{Index: 1, Count: 2}, want: 5},
 		"the other domain divides the rest":   {rate: 10, domain: "west", place: alone, want: 10},
 		"without a number":                    {rate: 10},
 		"with a number that is outdated":      {rate: 10, place: alone, late: time.Minute},
@@ -73,7 +73,7 @@
 		d.True(d.e.SetRoutes(table(1)))
 		d.list(items...)
 		d.e.SetReady(d.now)
-		d.e.SetPlace(model.Place{Index: n, Of: instances}, d.now.Add(time.Hour))
+		d.e.SetPlace(model.Ordinal{Index: n, Count: instances}, d.now.Add(time.Hour))
 		desks = append(desks, d)
 	}
 	sent := map[model.UpstreamID][]model.Instant{}
@@ -123,17 +123,17 @@
 			items := three()
 			d.list(items...)
 			d.e.SetReady(d.now)
-			ups := d.e.Roster().Of("desk")
+			ups := d.e.Roster().ByService("desk")
 			for range 2 {
 				for _, n := range tc.down {
-					ups[n].Health.Miss(d.now)
-					ups[n].Health.Probe(d.now)
+					ups[n].Health.RecordTimeout(d.now)
+					ups[n].Health.StartProbe(d.now)
 					d.e.Probed(d.now, ups[n], health.OutcomeFailed)
 				}
 				d.now = d.now.Add(time.Second)
 			}
 			for _, n := range tc.down {
-				ups[n].Health.Probe(d.now)
+				ups[n].Health.StartProbe(d.now)
 				d.e.Probed(d.now, ups[n], health.OutcomeAnswered)
 			}
 			if tc.told != nil {
@@ -141,7 +141,7 @@
 				d.list(items...)
 			}
 			d.now = d.now.Add(tc.late)
-			for _, u := range d.e.Roster().Of("desk") {
+			for _, u := range d.e.Roster().ByService("desk") {
 				if u.ID == items[0].ID {
 					d.Equal(u.Cold(d.now), tc.cold)
 				}
--- a/internal/core/direct/doubt.go
+++ b/internal/core/direct/doubt.go
@@ -17,7 +17,7 @@
 
 // doubts collects what this instance found silent by itself.
 type doubts struct {
-	next model.Doubt
+	next model.Suspicion
 	// spread is when each upstream and failure domain was last told or heard of; older ones are removed by tick.
 	upstreams map[model.UpstreamID]model.Instant
 	domains   map[model.DomainID]model.Instant
@@ -28,9 +28,9 @@
 }
 
 // Doubts returns what others of the failure domain should look at, since the last call.
-func (e *Engine) Doubts() model.Doubt {
+func (e *Engine) Doubts() model.Suspicion {
 	d := e.doubts.next
-	e.doubts.next = model.Doubt{}
+	e.doubts.next = model.Suspicion{}
 	return d
 }
 
@@ -68,7 +68,7 @@
 
 // HearDoubt takes another instance's word: it proves nothing, but lets this instance probe at once what it would have missed only with its
 // next flows. The actions are valid until the next call.
-func (e *Engine) HearDoubt(now model.Instant, d model.Doubt) []Action {
+func (e *Engine) HearDoubt(now model.Instant, d model.Suspicion) []Action {
 	e.actions = e.actions[:0]
 	if e.cfg.Without.Word || e.cfg.Without.Probes {
 		return nil
@@ -80,7 +80,7 @@
 	for _, id := range d.Upstreams {
 		e.doubts.upstreams[id] = now
 		if u := e.roster.Get(id); u != nil {
-			u.Health.Doubt(now)
+			u.Health.MarkSuspect(now)
 			e.probe(now, u)
 		}
 	}
@@ -88,8 +88,8 @@
 }
 
 // tellSilent lets others know of an upstream that a probe found silent, and of its failure domain if that is silent as a whole.
-func (e *Engine) tellSilent(now model.Instant, u *roster.Upstream, d *health.Domain) {
-	if d.Cut() {
+func (e *Engine) tellSilent(now model.Instant, u *roster.Upstream, d *health.DomainTracker) {
+	if d.Partitioned() {
 		e.doubts.domain(now, u.Domain)
 		return
 	}
--- a/internal/core/direct/engine.go
+++ b/internal/core/direct/engine.go
@@ -127,13 +127,13 @@
 	limits  map[model.ServiceID]model.ServiceLimits
 	flows   *recent.Table[model.FlowKey, flow]
 	timers  timers
-	budget  choose.Budget
+	budget  choose.RetryBudget
 	shakes  handshakes
-	domains map[model.DomainID]*health.Domain
+	domains map[model.DomainID]*health.DomainTracker
 	doubts  doubts
 	cold    coldLimits
 	// place is the number of this instance among those of its failure domain, believed until placeUntil.
-	place      model.Place
+	place      model.Ordinal
 	placeUntil model.Instant
 	// unknown holds when each tag that nobody here knows was first seen; at most unknownLimit.
 	unknown map[unknownTag]model.Instant
@@ -165,19 +165,19 @@
 func New(cfg Config) *Engine {
 	policy := cfg.Policy
 	if policy == nil {
-		policy = place.Policy[*roster.Upstream]()
+		policy = place.NewPolicy[*roster.Upstream]()
 	}
 	return &Engine{
 		cfg:     cfg,
 		rng:     rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
 		policy:  policy,
-		roster:  roster.New(roster.Config{Remember: cfg.Limits.FlowLife}),
+		roster:  roster.New(roster.Config{TagRetention: cfg.Limits.FlowLife}),
 		table:   model.RouteTable{FlowIdle: defaultFlowIdle},
 		routes:  map[netip.AddrPort]*route{},
 		limits:  map[model.ServiceID]model.ServiceLimits{},
 		flows:   recent.New[model.FlowKey, flow](flowLimit),
-		budget:  choose.Budget{Percent: resendPercent},
-		domains: map[model.DomainID]*health.Domain{},
+		budget:  choose.RetryBudget{Percent: resendPercent},
+		domains: map[model.DomainID]*health.DomainTracker{},
 		doubts:  newDoubts(),
 		cold:    coldLimits{},
 		unknown: map[unknownTag]model.Instant{},
@@ -187,7 +187,7 @@
 // SetLimits replaces the limits.
 func (e *Engine) SetLimits(l Limits) {
 	e.cfg.Limits = l
-	e.roster.SetRemember(l.FlowLife)
+	e.roster.SetTagRetention(l.FlowLife)
 }
 
 // Roster returns the upstreams that the engine knows.
@@ -280,7 +280,7 @@
 func (e *Engine) Tick(now model.Instant) []Action {
 	e.actions = e.actions[:0]
 	e.expireHandshakes(now)
-	e.roster.Tick(now)
+	e.roster.ExpireTags(now)
 	e.probeBarred(now)
 	e.cold.tick(now)
 	e.doubts.tick(now)
@@ -300,7 +300,7 @@
 
 // reset ends a flow towards its caller; up is nil where none is concerned.
 func (e *Engine) reset(seg *model.Segment, up *roster.Upstream, reason model.Reason) {
-	e.actions = append(e.actions, Action{Verb: model.VerbReset, Reason: reason, Flow: seg.Flow, Upstream: up, Position: seg.Received, Tag: seg.Tag})
+	e.actions = append(e.actions, Action{Verb: model.VerbReset, Reason: reason, Flow: seg.Flow, Upstream: up, Position: seg.AckSeq, Tag: seg.Tag})
 }
 
 // drop leaves a packet; up is nil where none is concerned.
--- a/internal/core/direct/engine_test.go
+++ b/internal/core/direct/engine_test.go
@@ -92,20 +92,20 @@
 
 func (d *desk) syn(port uint16, to netip.AddrPort, copies uint32) direct.Action {
 	d.Helper()
-	return d.send(model.Segment{Flow: flowOf(port, to), Open: true, Copy: copies})
+	return d.send(model.Segment{Flow: flowOf(port, to), Syn: true, Retransmission: copies})
 }
 
 func (d *desk) data(port uint16, to netip.AddrPort, tag model.RoutingTag) direct.Action {
 	d.Helper()
-	return d.send(model.Segment{Flow: flowOf(port, to), Answers: true, Tag: tag, Position: 1, Received: 1, Size: 100})
+	return d.send(model.Segment{Flow: flowOf(port, to), HasAck: true, Tag: tag, Seq: 1, AckSeq: 1, Size: 100})
 }
 
 // silence makes an upstream unreachable for certain: packets and three probes go unanswered.
 func (d *desk) silence(u *roster.Upstream) {
 	d.now = d.now.Add(time.Second)
-	u.Health.Miss(d.now)
+	u.Health.RecordTimeout(d.now)
 	for range 3 {
-		u.Health.Probe(d.now)
+		u.Health.StartProbe(d.now)
 		d.e.Probed(d.now, u, health.OutcomeFailed)
 		d.now = d.now.Add(time.Second)
 	}
@@ -130,11 +130,11 @@
 			d.Equal(a.Reason, model.ReasonNoUpstream)
 		},
 		"a packet follows its tag through an instance that never saw its flow": func(d *desk) {
-			up := d.e.Roster().Of("desk")[2]
+			up := d.e.Roster().ByService("desk")[2]
 			d.Equal(d.data(1, feedAddress, up.Tag).Upstream, up)
 		},
 		"a tag of another service is never followed": func(d *desk) {
-			up := d.e.Roster().Of("desk")[0]
+			up := d.e.Roster().ByService("desk")[0]
 			a := d.data(1, photoAddress, up.Tag)
 			d.Equal(a.Verb, model.VerbDrop)
 			d.Equal(a.Reason, model.ReasonTagUnknown)
@@ -151,7 +151,7 @@
 			d.Equal(d.data(2, feedAddress, 777).Verb, model.VerbDrop)
 		},
 		"an open flow stays where it is while its upstream drains": func(d *desk) {
-			up := d.e.Roster().Of("desk")[0]
+			up := d.e.Roster().ByService("desk")[0]
 			leaving := member(1, "east")
 			leaving.Draining, leaving.Revision = true, 9
 			d.list(leaving, member(2, "east"), member(3, "west"))
@@ -161,7 +161,7 @@
 			}
 		},
 		"an open flow goes on in a failure domain that is taken out, and no new one begins": func(d *desk) {
-			up := d.e.Roster().Of("desk")[0]
+			up := d.e.Roster().ByService("desk")[0]
 			d.e.Roster().SetOut(d.now, []model.DomainID{"east"})
 			d.Equal(d.data(1, feedAddress, up.Tag).Upstream, up)
 			for port := uint16(10); port < 60; port++ {
@@ -169,7 +169,7 @@
 			}
 		},
 		"the flow of an upstream that has ended is reset": func(d *desk) {
-			up := d.e.Roster().Of("desk")[0]
+			up := d.e.Roster().ByService("desk")[0]
 			d.list(three()[1:]...)
 			for _, to := range []netip.AddrPort{feedAddress, orderAddress} {
 				a := d.data(1, to, up.Tag)
@@ -179,7 +179,7 @@
 			}
 		},
 		"the flow of a route that is removed is reset": func(d *desk) {
-			up := d.e.Roster().Of("desk")[0]
+			up := d.e.Roster().ByService("desk")[0]
 			next := table(2)
 			next.Routes = next.Routes[1:]
 			d.True(d.e.SetRoutes(next))
@@ -187,7 +187,7 @@
 			d.Equal(d.data(1, orderAddress, up.Tag).Verb, model.VerbForward)
 		},
 		"an open flow stays where it is when its route turns to another service": func(d *desk) {
-			up := d.e.Roster().Of("desk")[0]
+			up := d.e.Roster().ByService("desk")[0]
 			next := table(2)
 			next.Routes[0].Targets[0].Service = "claims"
 			d.True(d.e.SetRoutes(next))
@@ -225,10 +225,10 @@
 			first := d.syn(1, feedAddress, 0)
 			d.now = d.now.Add(4 * time.Second)
 			d.e.Tick(d.now)
-			d.Equal(first.Upstream.Health.Misses(), 0)
+			d.Equal(first.Upstream.Health.Timeouts(), 0)
 		},
 		"an idempotent flow of an unreachable upstream is reset": func(d *desk) {
-			up := d.e.Roster().Of("desk")[0]
+			up := d.e.Roster().ByService("desk")[0]
 			d.silence(up)
 			a := d.data(1, feedAddress, up.Tag)
 			d.Equal(a.Verb, model.VerbReset)
@@ -239,9 +239,9 @@
 			d.now = d.now.Add(7 * time.Millisecond)
 			d.data(1, feedAddress, up.Tag)
 			d.now = d.now.Add(time.Millisecond)
-			up.Health.Miss(d.now)
+			up.Health.RecordTimeout(d.now)
 			for range 2 {
-				up.Health.Probe(d.now)
+				up.Health.StartProbe(d.now)
 				d.e.Probed(d.now, up, health.OutcomeFailed)
 				d.now = d.now.Add(time.Second)
 			}
@@ -259,7 +259,7 @@
 			d.data(3, orderAddress, up.Tag)
 			var out []direct.Action
 			for range 2 {
-				up.Health.Probe(d.now)
+				up.Health.StartProbe(d.now)
 				d.now = d.now.Add(100 * time.Millisecond)
 				for _, a := range d.e.Probed(d.now, up, health.OutcomeFailed) {
 					if a.Verb != model.VerbProbe {
@@ -272,31 +272,31 @@
 			d.Equal(out[0].Flow, flowOf(1, feedAddress))
 		},
 		"a flow that runs at most once is left to an unreachable upstream, which may have run it": func(d *desk) {
-			up := d.e.Roster().Of("desk")[0]
+			up := d.e.Roster().ByService("desk")[0]
 			d.silence(up)
 			d.Equal(d.data(1, orderAddress, up.Tag).Verb, model.VerbForward)
 		},
 		"an instance that reaches nobody says so until a probe is answered": func(d *desk) {
 			d.True(!d.e.Isolated())
-			for _, u := range d.e.Roster().Of("desk") {
+			for _, u := range d.e.Roster().ByService("desk") {
 				d.silence(u)
 			}
 			d.True(d.e.Isolated())
-			d.e.Probed(d.now, d.e.Roster().Of("desk")[0], health.OutcomeAnswered)
+			d.e.Probed(d.now, d.e.Roster().ByService("desk")[0], health.OutcomeAnswered)
 			d.True(!d.e.Isolated())
 		},
 		"packets that overtake each other blame nobody": func(d *desk) {
 			up := d.syn(1, orderAddress, 0).Upstream
 			d.now = d.now.Add(7 * time.Millisecond)
-			seg := model.Segment{Flow: flowOf(1, orderAddress), Answers: true, Tag: up.Tag, Position: 1300, Received: 1, Size: 1200}
+			seg := model.Segment{Flow: flowOf(1, orderAddress), HasAck: true, Tag: up.Tag, Seq: 1300, AckSeq: 1, Size: 1200}
 			d.send(seg)
 			d.now = d.now.Add(time.Millisecond)
-			seg.Position = 100
+			seg.Seq = 100
 			d.send(seg)
-			d.Equal(up.Health.Misses(), 0)
+			d.Equal(up.Health.Timeouts(), 0)
 			d.now = d.now.Add(200 * time.Millisecond)
 			d.send(seg)
-			d.Equal(up.Health.Misses(), 1)
+			d.Equal(up.Health.Timeouts(), 1)
 		},
 		"a port that is used again belongs to a new flow": func(d *desk) {
 			first := d.syn(1, feedAddress, 0)
@@ -317,7 +317,7 @@
 func TestEarly(t *testing.T) {
 	d := &desk{I: is.New(t), e: direct.New(direct.Config{Domain: "east", Seed: 1, Limits: direct.Limits{FlowLife: time.Minute}}), now: model.Instant(time.Minute)}
 	send := func(port uint16) []direct.Action {
-		return d.e.Packet(d.now, &model.Segment{Flow: flowOf(port, feedAddress), Open: true, Raw: []byte{1}})
+		return d.e.Packet(d.now, &model.Segment{Flow: flowOf(port, feedAddress), Syn: true, Raw: []byte{1}})
 	}
 	d.Equal(len(send(1)), 0)
 	d.now = d.now.Add(100 * time.Millisecond)
@@ -341,15 +341,15 @@
 func TestLoad(t *testing.T) {
 	cases := map[string]func(*desk, *roster.Upstream){
 		"by an answer": func(d *desk, up *roster.Upstream) {
-			d.send(model.Segment{Flow: flowOf(1, feedAddress), Answers: true, Tag: up.Tag, Position: 101, Received: 900})
+			d.send(model.Segment{Flow: flowOf(1, feedAddress), HasAck: true, Tag: up.Tag, Seq: 101, AckSeq: 900})
 			d.Equal(up.Load.Running, 0)
-			d.send(model.Segment{Flow: flowOf(1, feedAddress), Answers: true, Tag: up.Tag, Position: 101, Received: 900, Ends: true})
+			d.send(model.Segment{Flow: flowOf(1, feedAddress), HasAck: true, Tag: up.Tag, Seq: 101, AckSeq: 900, Fin: true})
 		},
 		"by the caller's end": func(d *desk, up *roster.Upstream) {
-			d.send(model.Segment{Flow: flowOf(1, feedAddress), Answers: true, Tag: up.Tag, Position: 101, Received: 1, Ends: true})
+			d.send(model.Segment{Flow: flowOf(1, feedAddress), HasAck: true, Tag: up.Tag, Seq: 101, AckSeq: 1, Fin: true})
 		},
 		"by the caller's abort": func(d *desk, up *roster.Upstream) {
-			d.send(model.Segment{Flow: flowOf(1, feedAddress), Aborts: true, Tag: up.Tag})
+			d.send(model.Segment{Flow: flowOf(1, feedAddress), Reset: true, Tag: up.Tag})
 		},
 		"by idleness": func(d *desk, _ *roster.Upstream) {
 			d.now = d.now.Add(15 * time.Second)
--- a/internal/core/direct/flow.go
+++ b/internal/core/direct/flow.go
@@ -94,5 +94,5 @@
 
 // waits reports whether the packet repeats data that got no answer; a flow that was not seen before is taken not to wait.
 func (f *flow) waits(now model.Instant, seg *model.Segment) bool {
-	return f != nil && f.open && f.asked != 0 && seg.Size > 0 && !after(seg.Position+uint32(seg.Size), f.position) && now.Sub(f.asked) >= repeatAfter
+	return f != nil && f.open && f.asked != 0 && seg.Size > 0 && !after(seg.Seq+uint32(seg.Size), f.position) && now.Sub(f.asked) >= repeatAfter
 }
--- a/internal/core/direct/open.go
+++ b/internal/core/direct/open.go
@@ -51,8 +51,8 @@
 		e.reset(seg, nil, model.ReasonNoRoute)
 		return
 	}
-	f := e.flows.Use(now, seg.Flow)
-	if f != nil && (f.open || (seg.Copy == 0 && f.opening == nil)) {
+	f := e.flows.Touch(now, seg.Flow)
+	if f != nil && (f.open || (seg.Retransmission == 0 && f.opening == nil)) {
 		// The port is used again: what was known is of an earlier flow.
 		f.end()
 		f = nil
@@ -61,7 +61,7 @@
 	if f != nil {
 		reason = model.ReasonCallerRepeats
 	} else {
-		e.budget.Earn()
+		e.budget.Deposit()
 		if !e.flows.Put(now, seg.Flow, flow{}) {
 			e.reset(seg, nil, model.ReasonFlowLimit)
 			return
@@ -120,7 +120,7 @@
 	if r == nil || len(f.tried) >= triesLimit || e.cfg.Without.Resend {
 		return
 	}
-	if !e.budget.Spend() {
+	if !e.budget.TryWithdraw() {
 		e.drop(&model.Segment{Flow: key}, f.up, model.ReasonRetryBudget)
 		return
 	}
--- a/internal/core/direct/packet.go
+++ b/internal/core/direct/packet.go
@@ -25,7 +25,7 @@
 }
 
 func (e *Engine) decide(now model.Instant, seg *model.Segment) {
-	if seg.Open {
+	if seg.Syn {
 		e.open(now, seg)
 		return
 	}
@@ -39,7 +39,7 @@
 		e.reset(seg, nil, model.ReasonRouteRemoved)
 		return
 	}
-	f := e.flows.Use(now, seg.Flow)
+	f := e.flows.Touch(now, seg.Flow)
 	up := e.resolve(r, f, seg)
 	if up == nil {
 		e.unresolved(now, seg, f)
@@ -64,7 +64,7 @@
 	f.move(up)
 	e.observe(now, seg, f)
 	e.forward(up, seg)
-	if seg.Aborts {
+	if seg.Reset {
 		f.end()
 		e.flows.Delete(seg.Flow)
 	}
@@ -74,7 +74,7 @@
 func (e *Engine) resolve(r *route, f *flow, seg *model.Segment) *roster.Upstream {
 	if seg.Tag != 0 {
 		for _, service := range r.services {
-			if up := e.roster.Find(service, seg.Tag); up != nil {
+			if up := e.roster.ByTag(service, seg.Tag); up != nil {
 				return up
 			}
 		}
@@ -123,7 +123,7 @@
 		f.end()
 		e.flows.Delete(seg.Flow)
 	}
-	if seg.Aborts {
+	if seg.Reset {
 		e.drop(seg, up, reason)
 		return
 	}
@@ -135,15 +135,15 @@
 	if !f.open {
 		e.opened(now, seg, f)
 	}
-	if seg.Answers && after(seg.Received, f.received) {
-		f.received = seg.Received
+	if seg.HasAck && after(seg.AckSeq, f.received) {
+		f.received = seg.AckSeq
 		e.progress(now, f)
 		if f.asked != 0 {
 			e.sample(SampleAnswer, now.Sub(f.asked))
 		}
 		f.answer(now)
 	}
-	end := seg.Position + uint32(seg.Size)
+	end := seg.Seq + uint32(seg.Size)
 	switch {
 	case seg.Size > 0 && after(end, f.position):
 		f.position = end
@@ -155,7 +155,7 @@
 		f.missed = true
 		e.miss(now, f.up, f.asked)
 	}
-	if seg.Ends {
+	if seg.Fin {
 		f.end()
 	}
 }
@@ -171,7 +171,7 @@
 		}
 	}
 	f.opening, f.tried = nil, nil
-	f.position, f.received = seg.Position, seg.Received
+	f.position, f.received = seg.Seq, seg.AckSeq
 	f.count()
 }
 
--- a/internal/core/direct/reach.go
+++ b/internal/core/direct/reach.go
@@ -11,7 +11,7 @@
 
 // reachable reports whether new flows may go to the upstream as far as this instance sees.
 func (e *Engine) reachable(u *roster.Upstream) bool {
-	return !u.Health.Barred() && !e.domain(u.Domain).Cut()
+	return !u.Health.Ejected() && !e.domain(u.Domain).Partitioned()
 }
 
 // Isolated reports whether there are upstreams but none that this instance can reach: callers are better off elsewhere.
@@ -37,9 +37,9 @@
 	if e.cfg.Without.Probes {
 		return
 	}
-	was := u.Health.Barred()
-	u.Health.Miss(sent)
-	if !was && u.Health.Barred() {
+	was := u.Health.Ejected()
+	u.Health.RecordTimeout(sent)
+	if !was && u.Health.Ejected() {
 		e.note(Note{Kind: NoteBarred, Upstream: u})
 	}
 	e.probe(now, u)
@@ -47,11 +47,11 @@
 
 // alive notes a sign of life of an upstream.
 func (e *Engine) alive(now model.Instant, u *roster.Upstream) {
-	if u.Health.Barred() {
-		e.note(Note{Kind: NoteReachable, Upstream: u, Silent: u.Health.Silent(now)})
+	if u.Health.Ejected() {
+		e.note(Note{Kind: NoteReachable, Upstream: u, Silent: u.Health.UnansweredFor(now)})
 	}
 	e.returned(now, u)
-	u.Health.Alive(now)
+	u.Health.RecordSuccess(now)
 	e.domainAlive(now, u.Domain)
 }
 
@@ -65,22 +65,22 @@
 
 // domainAlive notes a sign of life of a failure domain; its other upstreams are then probed at once.
 func (e *Engine) domainAlive(now model.Instant, id model.DomainID) {
-	if !e.domain(id).Alive(now) {
+	if !e.domain(id).RecordSuccess(now) {
 		return
 	}
 	e.note(Note{Kind: NoteDomainReachable, Domain: id})
 	for _, u := range e.roster.All() {
 		if u.Domain == id {
-			u.Health.Hurry()
+			u.Health.ExpediteProbe()
 		}
 	}
 }
 
 // probe asks for a probe of an upstream if one is due.
 func (e *Engine) probe(now model.Instant, u *roster.Upstream) {
-	if u.State != roster.StateGone && e.probing < probesAtOnce && u.Health.Probe(now) {
+	if u.State != roster.StateGone && e.probing < probesAtOnce && u.Health.StartProbe(now) {
 		e.probing++
-		e.actions = append(e.actions, Action{Verb: model.VerbProbe, Upstream: u, Wait: u.Health.ProbeWait()})
+		e.actions = append(e.actions, Action{Verb: model.VerbProbe, Upstream: u, Wait: u.Health.ProbeTimeout()})
 	}
 }
 
@@ -109,18 +109,18 @@
 	})
 	for _, key := range e.released {
 		f := e.flows.Peek(key)
-		e.ended(&model.Segment{Flow: key, Received: f.received}, f, u, model.ReasonUpstreamUnreachable)
+		e.ended(&model.Segment{Flow: key, AckSeq: f.received}, f, u, model.ReasonUpstreamUnreachable)
 	}
 	e.released = e.released[:0]
 }
 
 // judge counts the outcome of a probe.
 func (e *Engine) judge(now model.Instant, u *roster.Upstream, outcome health.Outcome) {
-	was := u.Health.Barred()
+	was := u.Health.Ejected()
 	if outcome == health.OutcomeAnswered {
 		e.returned(now, u)
 	}
-	u.Health.Probed(now, outcome)
+	u.Health.FinishProbe(now, outcome)
 	e.probing--
 	if outcome == health.OutcomeAnswered {
 		if was {
@@ -129,21 +129,21 @@
 		e.domainAlive(now, u.Domain)
 		return
 	}
-	if !was && u.Health.Barred() {
+	if !was && u.Health.Ejected() {
 		e.note(Note{Kind: NoteBarred, Upstream: u})
 	}
-	if outcome != health.OutcomeFailed || !u.Health.Barred() {
+	if outcome != health.OutcomeFailed || !u.Health.Ejected() {
 		return
 	}
 	d := e.domain(u.Domain)
-	if d.Failed(now, u.ID) {
+	if d.RecordProbeFailure(now, u.ID) {
 		e.note(Note{Kind: NoteDomainCut, Domain: u.Domain})
 	}
-	if d.Cut() {
+	if d.Partitioned() {
 		e.blamePath(u.Domain)
 	}
 	e.tellSilent(now, u, d)
-	if d.Doubtful(now) {
+	if d.Suspected(now) {
 		e.doubt(now, u.Domain)
 	}
 }
@@ -152,7 +152,7 @@
 func (e *Engine) blamePath(id model.DomainID) {
 	for _, u := range e.roster.All() {
 		if u.Domain == id {
-			u.Health.BlamePath()
+			u.Health.MarkPathDown()
 		}
 	}
 }
@@ -162,7 +162,7 @@
 func (e *Engine) doubt(now model.Instant, id model.DomainID) {
 	for _, u := range e.roster.All() {
 		if u.Domain == id {
-			u.Health.Doubt(now)
+			u.Health.MarkSuspect(now)
 			e.probe(now, u)
 		}
 	}
@@ -175,10 +175,10 @@
 	}
 }
 
-func (e *Engine) domain(id model.DomainID) *health.Domain {
+func (e *Engine) domain(id model.DomainID) *health.DomainTracker {
 	d := e.domains[id]
 	if d == nil {
-		d = &health.Domain{}
+		d = &health.DomainTracker{}
 		e.domains[id] = d
 	}
 	return d
--- a/internal/core/direct/select.go
+++ b/internal/core/direct/select.go
@@ -8,7 +8,7 @@
 
 // choose picks the upstream of a new flow; it returns nil when no upstream may take it.
 func (e *Engine) choose(now model.Instant, r *route, f *flow) *roster.Upstream {
-	target := place.Target(r.Targets, func(t model.Target) float64 { return t.Weight }, e.rng)
+	target := place.PickWeighted(r.Targets, func(t model.Target) float64 { return t.Weight }, e.rng)
 	if up := e.chooseOf(now, target.Service, f); up != nil {
 		return up
 	}
@@ -27,7 +27,7 @@
 func (e *Engine) chooseOf(now model.Instant, service model.ServiceID, f *flow) *roster.Upstream {
 	e.candidates = e.candidates[:0]
 	e.cold.queue, e.doubted = e.cold.queue[:0], e.doubted[:0]
-	for _, u := range e.roster.Of(service) {
+	for _, u := range e.roster.ByService(service) {
 		switch {
 		case !e.roster.Usable(u) || f.wasTried(u):
 		case u.Cold(now):
--- a/internal/core/engine/answer.go
+++ b/internal/core/engine/answer.go
@@ -15,7 +15,7 @@
 		e.lose(a, model.ReasonAnswerUnexpected)
 		return e.actions
 	}
-	if a.Home {
+	if a.HandedOff {
 		e.deliverHome(now, a, up)
 		return e.actions
 	}
@@ -25,7 +25,7 @@
 		e.emit(model.Action{Verb: model.VerbDeliver, Answer: a, Raw: a.Raw})
 	case up.service.cfg.Kind == model.KindDatagram:
 		e.flowAnswer(now, a, up)
-	case a.Outcome == model.OutcomeNotice:
+	case a.Outcome == model.OutcomeNotification:
 		e.streamAnswer(now, a, up)
 	default:
 		e.requestAnswer(now, a, up)
@@ -145,7 +145,7 @@
 	e.note(model.ReasonUpstreamShed)
 	x.up.pauseUntil = now.Add(shedPause)
 	e.release(now, x)
-	if x.startBy <= now || !x.service.budget.Spend() {
+	if x.startBy <= now || !x.service.budget.TryWithdraw() {
 		e.giveUp(now, x, model.ReasonRetryBudget)
 		return
 	}
@@ -171,7 +171,7 @@
 		return
 	}
 	if home := e.home(a.Flow); home != e.cfg.Self.ID && home != "" {
-		e.emit(model.Action{Verb: model.VerbHandAnswer, Reason: model.ReasonHome, Answer: a, Peer: home})
+		e.emit(model.Action{Verb: model.VerbHandOffAnswer, Reason: model.ReasonHome, Answer: a, Peer: home})
 		return
 	}
 	e.replies.Put(now, replyKey{flow: a.Flow, messageID: a.MessageID}, up)
--- a/internal/core/engine/bench_test.go
+++ b/internal/core/engine/bench_test.go
@@ -97,7 +97,7 @@
 	e, doc, now := benchEngine(b, model.KindCoAP)
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		p := &model.Packet{Flow: benchFlow(doc, n%100_000), Class: model.ClassAny}
+		p := &model.Packet{Flow: benchFlow(doc, n%100_000), Class: model.ClassIdempotent}
 		p.Token = model.NewToken([]byte{byte(n), byte(n >> 8), byte(n >> 16), byte(n >> 24)})
 		a := e.Packet(now, p)[0]
 		if a.Verb != model.VerbForward {
--- a/internal/core/engine/engine.go
+++ b/internal/core/engine/engine.go
@@ -179,7 +179,7 @@
 	if e.doc == nil || gap < e.doc.Timing.Detection/2 {
 		return
 	}
-	e.table.Forget()
+	e.table.RestartHoldOff()
 	e.own(now)
 	for _, up := range e.upstreams {
 		up.heard = 0
@@ -192,9 +192,9 @@
 	if e.doc == nil {
 		return
 	}
-	e.table.Update(now, units.View{Document: e.doc, Members: e.owners(now), Adopted: e.adopted})
+	e.table.Update(now, units.Inputs{Document: e.doc, Members: e.owners(now), Orphaned: e.adopted})
 	if e.stopAt != 0 {
-		e.heirs.Update(now, units.View{Document: e.doc, Members: e.others(), Adopted: e.adopted})
+		e.heirs.Update(now, units.Inputs{Document: e.doc, Members: e.others(), Orphaned: e.adopted})
 	}
 	for _, s := range e.services {
 		e.indexOwners(s)
@@ -270,11 +270,11 @@
 }
 
 func (e *Engine) hand(p *model.Packet, peer model.InstanceID, reason model.Reason) {
-	e.emit(model.Action{Verb: model.VerbHand, Reason: reason, Packet: p, Peer: peer})
+	e.emit(model.Action{Verb: model.VerbHandOff, Reason: reason, Packet: p, Peer: peer})
 }
 
 func (e *Engine) unknown(p *model.Packet, reason model.Reason) {
-	e.emit(model.Action{Verb: model.VerbUnknown, Reason: reason, Packet: p})
+	e.emit(model.Action{Verb: model.VerbOutcomeUnknown, Reason: reason, Packet: p})
 }
 
 const (
--- a/internal/core/engine/engine_test.go
+++ b/internal/core/engine/engine_test.go
@@ -36,7 +36,7 @@
 				n := rapid.IntRange(1, 500).Draw(t, "reader")
 				w.toAny(t, &model.Packet{
 					Flow:   model.FlowKey{Caller: addr(201, uint16(1000+n)), Service: w.doc.Services[n%2].Address},
-					Class:  model.ClassAny,
+					Class:  model.ClassIdempotent,
 					Digest: uint64(10_000 + n),
 					Raw:    []byte("read"),
 				})
--- a/internal/core/engine/exchange.go
+++ b/internal/core/engine/exchange.go
@@ -45,7 +45,7 @@
 			return
 		}
 	}
-	s.budget.Earn()
+	s.budget.Deposit()
 	e.start(now, newExchange(now, s, p))
 }
 
@@ -129,7 +129,7 @@
 
 // mark follows how busy the owned slots are.
 func (u *upstream) mark(now model.Instant) {
-	u.busy.set(now, float64(u.running)/float64(max(u.share.Mine(), 1)))
+	u.busy.set(now, float64(u.running)/float64(max(u.share.Owned(), 1)))
 }
 
 // giveUp refuses an exchange that was never forwarded, or that its upstreams did not run.
--- a/internal/core/engine/flow.go
+++ b/internal/core/engine/flow.go
@@ -55,15 +55,15 @@
 
 // knownFlow relays a packet whose place this instance knows, by itself or by word of a peer; else it reports false.
 func (e *Engine) knownFlow(now model.Instant, s *service, p *model.Packet) bool {
-	if f := e.flows.flows.Use(now, p.Flow); f != nil && e.standing(f.up) && f.fresh() {
+	if f := e.flows.flows.Touch(now, p.Flow); f != nil && e.standing(f.up) && f.fresh() {
 		e.keptPacket(now, p, f)
 		return true
 	}
-	if up := e.upstreams[p.Toward]; up != nil && up.service == s && e.standing(up) {
+	if up := e.upstreams[p.Upstream]; up != nil && up.service == s && e.standing(up) {
 		e.probeFlow(now, p, up)
 		return true
 	}
-	if up := e.flows.told.Use(now, p.Flow); up != nil && e.standing(*up) {
+	if up := e.flows.told.Touch(now, p.Flow); up != nil && e.standing(*up) {
 		e.keepFlow(now, p.Flow, *up)
 		e.relay(now, p, *up)
 		return true
@@ -191,7 +191,7 @@
 		return false
 	}
 	if now < up.coldUntil {
-		return up.share.Probation(now) && !up.unsure(now, lease) && up.coldOpened < up.cfg.ColdConnections
+		return up.share.IsPrimary(now) && !up.unsure(now, lease) && up.coldOpened < up.cfg.ColdConnections
 	}
 	instances := max(len(e.homes), 1)
 	open := max(up.reported, up.streams*instances)
@@ -200,7 +200,7 @@
 
 // flowAnswer relays a datagram of an upstream to the flow's caller.
 func (e *Engine) flowAnswer(now model.Instant, a *model.Answer, up *upstream) {
-	f := e.flows.flows.Use(now, a.Flow)
+	f := e.flows.flows.Touch(now, a.Flow)
 	if f != nil && f.up != up {
 		e.lose(a, model.ReasonAnswerUnexpected)
 		return
@@ -222,7 +222,7 @@
 		if up.out || up.cfg.Leaving {
 			continue
 		}
-		all = append(all, ranked{up: up, score: rendez.Weighted(rendez.Key(key.Hash()), string(up.cfg.ID), float64(up.cfg.Connections))})
+		all = append(all, ranked{up: up, score: rendez.WeightedScore(rendez.Key(key.Hash()), string(up.cfg.ID), float64(up.cfg.Connections))})
 	}
 	slices.SortFunc(all, func(a, b ranked) int {
 		if a.score > b.score {
--- a/internal/core/engine/flow_test.go
+++ b/internal/core/engine/flow_test.go
@@ -77,7 +77,7 @@
 		key := rendez.Key(f.Hash())
 		best, top := model.UpstreamID(""), 0.0
 		for _, u := range j.doc.Services[0].Upstreams {
-			if score := rendez.Weighted(key, string(u.ID), float64(u.Connections)); score > top {
+			if score := rendez.WeightedScore(key, string(u.ID), float64(u.Connections)); score > top {
 				best, top = u.ID, score
 			}
 		}
@@ -98,7 +98,7 @@
 func (j *joiner) answer(f model.FlowKey, up model.UpstreamID) {
 	for _, u := range j.doc.Services[0].Upstreams {
 		if u.ID == up {
-			j.e.Answer(j.now, &model.Answer{Flow: f, Outcome: model.OutcomeNotice, From: u.Address, Boot: 7})
+			j.e.Answer(j.now, &model.Answer{Flow: f, Outcome: model.OutcomeNotification, From: u.Address, Boot: 7})
 		}
 	}
 }
@@ -157,9 +157,9 @@
 				case model.VerbForward:
 					j.Equal(a.Upstream, tc.up)
 					reached = true
-				case model.VerbHand:
+				case model.VerbHandOff:
 					j.Equal(a.Peer, j.prober(tc.up))
-					j.Equal(a.Packet.Toward, tc.up)
+					j.Equal(a.Packet.Upstream, tc.up)
 					reached = true
 				default:
 				}
--- a/internal/core/engine/keys_test.go
+++ b/internal/core/engine/keys_test.go
@@ -18,7 +18,7 @@
 		reason model.Reason
 	}{
 		"booking, a key that others have already":   {class: model.ClassOnce, use: bind.UseOnce, epoch: 2, verb: model.VerbDrop, reason: model.ReasonKeyAhead},
-		"booking, a key that is no longer accepted": {class: model.ClassOnce, use: bind.UseOnce, epoch: 250, verb: model.VerbUnknown, reason: model.ReasonBindingExpired},
+		"booking, a key that is no longer accepted": {class: model.ClassOnce, use: bind.UseOnce, epoch: 250, verb: model.VerbOutcomeUnknown, reason: model.ReasonBindingExpired},
 		"stream, a key that others have already":    {class: model.ClassSticky, use: bind.UseStream, epoch: 2, verb: model.VerbDrop, reason: model.ReasonKeyAhead},
 		"stream, a key that is no longer accepted":  {class: model.ClassSticky, use: bind.UseStream, epoch: 250, verb: model.VerbChallenge, reason: model.ReasonBindingForged},
 	}
--- a/internal/core/engine/once.go
+++ b/internal/core/engine/once.go
@@ -70,7 +70,7 @@
 
 // runOnce forwards a bound request unless any copy of it was seen before.
 func (e *Engine) runOnce(now model.Instant, s *service, p *model.Packet, b bind.Binding) {
-	key := once.Key{Serial: b.Serial, Part: p.Part}
+	key := once.Key{Serial: b.Serial, Part: p.Block}
 	if entry := e.ledger.Find(key); entry != nil {
 		e.repeatOnce(now, s, p, entry)
 		return
@@ -79,7 +79,7 @@
 		e.unknown(p, model.ReasonBindingExpired)
 		return
 	}
-	s.budget.Earn()
+	s.budget.Deposit()
 	x := newExchange(now, s, p)
 	x.entry = e.ledger.Open(key, p, now.Add(e.doc.Timing.BindingLife+time.Second))
 	e.start(now, x)
--- a/internal/core/engine/once_test.go
+++ b/internal/core/engine/once_test.go
@@ -136,18 +136,18 @@
 		"an expired binding is never run": func(a *alone) {
 			p := a.bound(model.ClassOnce)
 			a.wait(6 * time.Second)
-			a.Equal(a.one(p).Verb, model.VerbUnknown)
+			a.Equal(a.one(p).Verb, model.VerbOutcomeUnknown)
 		},
 		"a forged binding is never answered with a fresh one": func(a *alone) {
 			p := a.bound(model.ClassOnce)
 			p.Binding = append([]byte{}, p.Binding...)
 			p.Binding[30]++
-			a.Equal(a.one(p).Verb, model.VerbUnknown)
+			a.Equal(a.one(p).Verb, model.VerbOutcomeUnknown)
 		},
 		"a binding of another caller is never run": func(a *alone) {
 			p := a.bound(model.ClassOnce)
 			p.Flow.Caller = addr(201, 1)
-			a.Equal(a.one(p).Verb, model.VerbUnknown)
+			a.Equal(a.one(p).Verb, model.VerbOutcomeUnknown)
 		},
 		"what one upstream did not run goes to another": func(a *alone) {
 			first := a.one(a.bound(model.ClassOnce))
@@ -165,7 +165,7 @@
 			sent := a.one(p)
 			unknown := 0
 			for _, act := range a.wait(1100 * time.Millisecond) {
-				if act.Verb == model.VerbUnknown {
+				if act.Verb == model.VerbOutcomeUnknown {
 					unknown++
 				}
 			}
@@ -208,9 +208,9 @@
 	a := newAlone(t, func(doc *model.Document) {
 		doc.Services[0].Upstreams = doc.Services[0].Upstreams[:1]
 	})
-	a.one(a.packet(model.ClassAny, "1"))
-	busy := a.one(a.packet(model.ClassAny, "2"))
-	a.Equal(len(a.e.Packet(a.now, a.packet(model.ClassAny, "3"))), 0)
+	a.one(a.packet(model.ClassIdempotent, "1"))
+	busy := a.one(a.packet(model.ClassIdempotent, "2"))
+	a.Equal(len(a.e.Packet(a.now, a.packet(model.ClassIdempotent, "3"))), 0)
 	refused := 0
 	for _, act := range a.wait(700 * time.Millisecond) {
 		if act.Verb == model.VerbRefuse {
@@ -263,7 +263,7 @@
 		"its notifications are acknowledged at their upstream": func(a *alone) {
 			p := a.bound(model.ClassSticky)
 			sent := a.one(p)
-			a.e.Answer(a.now, &model.Answer{Flow: p.Flow, Token: p.Token, MessageID: 9, Confirmable: true, Outcome: model.OutcomeNotice, From: sent.Address, Boot: 7})
+			a.e.Answer(a.now, &model.Answer{Flow: p.Flow, Token: p.Token, MessageID: 9, Confirmable: true, Outcome: model.OutcomeNotification, From: sent.Address, Boot: 7})
 			ack := a.packet(model.ClassReply, "")
 			ack.MessageID = 9
 			act := a.one(ack)
@@ -276,7 +276,7 @@
 			sent := a.one(p)
 			for _, up := range a.doc.Services[0].Upstreams {
 				if up.Address != sent.Address {
-					act := a.last(a.e.Answer(a.now, &model.Answer{Flow: p.Flow, Token: p.Token, Outcome: model.OutcomeNotice, From: up.Address, Boot: 7}))
+					act := a.last(a.e.Answer(a.now, &model.Answer{Flow: p.Flow, Token: p.Token, Outcome: model.OutcomeNotification, From: up.Address, Boot: 7}))
 					a.Equal(act.Verb, model.VerbDrop)
 				}
 			}
@@ -298,14 +298,14 @@
 		members []model.Member
 		want    model.Verb
 	}{
-		"it restarted": {members: []model.Member{{ID: "instance-1", Domain: "west", Boot: 2, State: model.MemberAlive}}, want: model.VerbUnknown},
+		"it restarted": {members: []model.Member{{ID: "instance-1", Domain: "west", Boot: 2, State: model.MemberAlive}}, want: model.VerbOutcomeUnknown},
 		"it died alone": {members: []model.Member{
 			{ID: "instance-1", Domain: "west", Boot: 1, State: model.MemberDead},
 			{ID: "instance-2", Domain: "west", State: model.MemberAlive},
-		}, want: model.VerbUnknown},
+		}, want: model.VerbOutcomeUnknown},
 		"its whole domain is silent":     {members: []model.Member{{ID: "instance-1", Domain: "west", Boot: 1, State: model.MemberDead}}, want: model.VerbDrop},
-		"it lives":                       {members: []model.Member{{ID: "instance-1", Domain: "west", Boot: 1, State: model.MemberAlive}}, want: model.VerbHand},
-		"it is leaving and still serves": {members: []model.Member{{ID: "instance-1", Domain: "west", Boot: 1, State: model.MemberLeaving}}, want: model.VerbHand},
+		"it lives":                       {members: []model.Member{{ID: "instance-1", Domain: "west", Boot: 1, State: model.MemberAlive}}, want: model.VerbHandOff},
+		"it is leaving and still serves": {members: []model.Member{{ID: "instance-1", Domain: "west", Boot: 1, State: model.MemberLeaving}}, want: model.VerbHandOff},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -341,11 +341,11 @@
 			a.prove(tc.before)
 			a.wait(61 * time.Second)
 			a.prove(tc.before)
-			a.one(a.packet(model.ClassAny, "1"))
+			a.one(a.packet(model.ClassIdempotent, "1"))
 			a.wait(1500 * time.Millisecond)
 			a.prove(tc.after)
-			a.Equal(a.one(a.packet(model.ClassAny, "2")).Verb, model.VerbForward)
-			second := a.e.Packet(a.now, a.packet(model.ClassAny, "3"))
+			a.Equal(a.one(a.packet(model.ClassIdempotent, "2")).Verb, model.VerbForward)
+			second := a.e.Packet(a.now, a.packet(model.ClassIdempotent, "3"))
 			forwarded := len(second) > 0 && second[len(second)-1].Verb == model.VerbForward
 			a.Equal(forwarded, !tc.cold)
 		})
--- a/internal/core/engine/packet.go
+++ b/internal/core/engine/packet.go
@@ -15,7 +15,7 @@
 		return e.actions
 	}
 	switch p.Class {
-	case model.ClassAny:
+	case model.ClassIdempotent:
 		e.anyPacket(now, s, p)
 	case model.ClassSticky:
 		e.stickyPacket(now, s, p)
--- a/internal/core/engine/service.go
+++ b/internal/core/engine/service.go
@@ -30,7 +30,7 @@
 	busy       gauge
 	// mine is the number of slots that this instance owns.
 	mine   int
-	budget choose.Budget
+	budget choose.RetryBudget
 	// waiting holds requests that wait for a slot.
 	waiting queue.Queue[*exchange]
 	// checks and deadlines hold forwarded requests by the time of their next check.
@@ -91,11 +91,11 @@
 func (e *Engine) indexOwners(s *service) {
 	s.near, s.far, s.neighbours, s.mine = s.near[:0], s.far[:0], s.neighbours[:0], 0
 	for _, up := range s.upstreams {
-		e.succeed(up, e.table.Share(up.cfg.ID))
+		e.succeed(up, e.table.Allocation(up.cfg.ID))
 		if up.closed() {
 			continue
 		}
-		s.mine += up.share.Mine()
+		s.mine += up.share.Owned()
 		for n, id := range up.share.Owners {
 			e.indexOwner(s, slot{up: up, n: n}, id)
 		}
@@ -103,9 +103,9 @@
 }
 
 // succeed replaces the division of an upstream's slots. Whoever was its prober knows when it started, and tells the next.
-func (e *Engine) succeed(up *upstream, next *units.Share) {
+func (e *Engine) succeed(up *upstream, next *units.Allocation) {
 	self := e.cfg.Self.ID
-	if up.share.Prober() == self && (next.Prober() != self || e.stopAt != 0) && !up.guessed {
+	if up.share.Primary() == self && (next.Primary() != self || e.stopAt != 0) && !up.guessed {
 		up.owed, e.urgent = true, true
 	}
 	up.share = next
@@ -151,7 +151,7 @@
 		}
 		owner := sl.up.share.Owners[sl.n]
 		mustBeOpen := open || owner == e.cfg.Self.ID
-		if now >= sl.up.pauseUntil && (!mustBeOpen || sl.up.share.Open(now, sl.n)) {
+		if now >= sl.up.pauseUntil && (!mustBeOpen || sl.up.share.SlotUsable(now, sl.n)) {
 			return owner
 		}
 	}
--- a/internal/core/engine/sight.go
+++ b/internal/core/engine/sight.go
@@ -71,12 +71,12 @@
 	if up.restarted > up.told || up.owed {
 		return true
 	}
-	return up.share.Prober() == e.cfg.Self.ID && up.heard > up.told
+	return up.share.Primary() == e.cfg.Self.ID && up.heard > up.told
 }
 
 // audience returns who should hear of an upstream: the owners of its slots, and those that a stopping instance leaves them to.
 func (e *Engine) audience(up *upstream) []model.InstanceID {
-	if heirs := e.heirs.Share(up.cfg.ID); heirs != nil {
+	if heirs := e.heirs.Allocation(up.cfg.ID); heirs != nil {
 		return slices.Concat(up.share.Owners, heirs.Owners)
 	}
 	return up.share.Owners
@@ -113,7 +113,7 @@
 
 func (e *Engine) hearSighting(now model.Instant, up *upstream, s Sighting) {
 	heard, seen := now.Add(-s.HeardAge), now.Add(-s.BootAge)
-	if up.share != nil && up.share.Prober() != e.cfg.Self.ID {
+	if up.share != nil && up.share.Primary() != e.cfg.Self.ID {
 		e.SetHealth(now, s.Health)
 	}
 	switch {
@@ -168,7 +168,7 @@
 func (e *Engine) Polled() []model.Upstream {
 	var out []model.Upstream
 	for _, up := range e.upstreams {
-		if up.share != nil && up.share.Prober() == e.cfg.Self.ID && up.cfg.Health.IsValid() {
+		if up.share != nil && up.share.Primary() == e.cfg.Self.ID && up.cfg.Health.IsValid() {
 			out = append(out, *up.cfg)
 		}
 	}
--- a/internal/core/engine/sticky.go
+++ b/internal/core/engine/sticky.go
@@ -15,7 +15,7 @@
 		return
 	}
 	key := p.Exchange()
-	if st := e.streams.Use(now, key); st != nil && string(st.proof[:]) == string(p.Binding) && e.standing(st.up) {
+	if st := e.streams.Touch(now, key); st != nil && string(st.proof[:]) == string(p.Binding) && e.standing(st.up) {
 		e.relay(now, p, st.up)
 		return
 	}
@@ -101,7 +101,7 @@
 
 // handProber hands a packet to the upstream's prober; it reports false if that is this instance or none.
 func (e *Engine) handProber(p *model.Packet, up *upstream) bool {
-	prober := up.share.Prober()
+	prober := up.share.Primary()
 	limit := uint8(model.MaxHops)
 	if p.Class == model.ClassFlow {
 		limit = proberHops
@@ -109,7 +109,7 @@
 	if prober == e.cfg.Self.ID || prober == "" || p.Hops >= limit {
 		return false
 	}
-	p.Toward = up.cfg.ID
+	p.Upstream = up.cfg.ID
 	e.hand(p, prober, model.ReasonUpstreamSilent)
 	return true
 }
--- a/internal/core/engine/tick.go
+++ b/internal/core/engine/tick.go
@@ -32,7 +32,7 @@
 	if e.stopAt == 0 || now.Sub(e.stopAt) <= e.doc.Timing.Detection {
 		return
 	}
-	if e.table.Owns() {
+	if e.table.OwnsAny() {
 		e.own(now)
 	}
 }
@@ -56,7 +56,7 @@
 // retrySilent sends an idempotent request to a second upstream; the first keeps its slot until the deadline.
 func (e *Engine) retrySilent(now model.Instant, x *exchange) {
 	first := x.up
-	if !x.service.budget.Spend() {
+	if !x.service.budget.TryWithdraw() {
 		e.note(model.ReasonRetryBudget)
 		return
 	}
--- a/internal/core/engine/upstream.go
+++ b/internal/core/engine/upstream.go
@@ -22,7 +22,7 @@
 type upstream struct {
 	cfg     *model.Upstream
 	service *service
-	share   *units.Share
+	share   *units.Allocation
 	// out is set while operators have taken its domain out.
 	out bool
 	// boot is the start that was heard last; zero for none.
@@ -56,7 +56,7 @@
 	probed model.Instant
 	// parked holds packets of streams that wait for that proof.
 	parked queue.Queue[*model.Packet]
-	speed  choose.Speed
+	speed  choose.LatencyAverage
 	busy   gauge
 	// opened counts the streams placed here by interval.
 	opened window
@@ -116,7 +116,7 @@
 	if !u.cold(now, lease) {
 		return u.share.Usable(now)
 	}
-	if u.share.Probation(now) {
+	if u.share.IsPrimary(now) {
 		return u.cfg.ColdSlots
 	}
 	return 0
--- a/internal/core/engine/world_test.go
+++ b/internal/core/engine/world_test.go
@@ -242,11 +242,11 @@
 		switch a.Verb {
 		case model.VerbForward:
 			w.forward(n, a)
-		case model.VerbHand:
+		case model.VerbHandOff:
 			p := *a.Packet
 			p.Hops++
 			w.mail = append(w.mail, message{to: w.index(a.Peer), from: n, packet: &p})
-		case model.VerbChallenge, model.VerbRefuse, model.VerbUnknown:
+		case model.VerbChallenge, model.VerbRefuse, model.VerbOutcomeUnknown:
 			w.mail = append(w.mail, message{to: -1, reply: &reply{verb: a.Verb, packet: a.Packet, binding: a.Binding}})
 			w.checkRefusal(a)
 		}
--- a/internal/core/fresh/keeper.go
+++ b/internal/core/fresh/keeper.go
@@ -47,7 +47,7 @@
 	self model.InstanceID
 	pace Pace
 	// seat is as last read; read tells whether it ever was.
-	seat model.Seat
+	seat model.ReaderRecord
 	read bool
 	// failed is the seat's revision whose holder was found silent or outdated.
 	failed model.Revision
@@ -121,7 +121,7 @@
 }
 
 // Seat returns the seat as last read.
-func (k *Keeper) Seat() model.Seat {
+func (k *Keeper) Seat() model.ReaderRecord {
 	return k.seat
 }
 
@@ -146,7 +146,7 @@
 }
 
 // StoreRead takes the outcome of a read that began at start.
-func (k *Keeper) StoreRead(now, start model.Instant, seat model.Seat, ok bool) {
+func (k *Keeper) StoreRead(now, start model.Instant, seat model.ReaderRecord, ok bool) {
 	k.next = now.Add(k.pace.Done(ok, now.Sub(start)))
 	if !ok {
 		// The reader may know more than a store that does not answer here.
@@ -172,7 +172,7 @@
 }
 
 // Claimed takes the outcome of a claim: the seat as it is now, if the store answered.
-func (k *Keeper) Claimed(now model.Instant, seat model.Seat, ok bool) {
+func (k *Keeper) Claimed(now model.Instant, seat model.ReaderRecord, ok bool) {
 	k.next = now
 	if !ok {
 		k.claimed = max(now, 1)
--- a/internal/core/fresh/keeper_test.go
+++ b/internal/core/fresh/keeper_test.go
@@ -14,9 +14,9 @@
 const bound = 3 * time.Second
 
 var (
-	mine   = model.Seat{Domain: "east", Holder: "a", Control: netip.MustParseAddrPort("127.0.0.1:1"), Revision: 4}
-	theirs = model.Seat{Domain: "east", Holder: "b", Control: netip.MustParseAddrPort("127.0.0.1:2"), Revision: 5}
-	empty  = model.Seat{Domain: "east"}
+	mine   = model.ReaderRecord{Domain: "east", Holder: "a", Control: netip.MustParseAddrPort("127.0.0.1:1"), Revision: 4}
+	theirs = model.ReaderRecord{Domain: "east", Holder: "b", Control: netip.MustParseAddrPort("127.0.0.1:2"), Revision: 5}
+	empty  = model.ReaderRecord{Domain: "east"}
 )
 
 // TestStep checks from whom an instance learns next after what has happened.
@@ -28,7 +28,7 @@
 	}{
 		"at the start": {play: func(*fresh.Keeper) {}, want: fresh.StepStore},
 		"the store does not answer at the start": {
-			play: func(k *fresh.Keeper) { k.StoreRead(0, 0, model.Seat{}, false) },
+			play: func(k *fresh.Keeper) { k.StoreRead(0, 0, model.ReaderRecord{}, false) },
 			want: fresh.StepStore, wait: 200 * time.Millisecond,
 		},
 		"nobody reads for the domain": {
@@ -75,7 +75,7 @@
 			want: fresh.StepReader,
 		},
 		"a claim was not answered": {
-			play: func(k *fresh.Keeper) { k.StoreRead(0, 0, empty, true); k.Claimed(0, model.Seat{}, false) },
+			play: func(k *fresh.Keeper) { k.StoreRead(0, 0, empty, true); k.Claimed(0, model.ReaderRecord{}, false) },
 			want: fresh.StepStore, wait: 200 * time.Millisecond,
 		},
 		"this instance lost its seat": {
@@ -90,7 +90,7 @@
 			play: func(k *fresh.Keeper) {
 				k.StoreRead(0, 0, theirs, true)
 				k.ReaderTold(0, 3*time.Second, true)
-				k.StoreRead(0, 0, model.Seat{}, false)
+				k.StoreRead(0, 0, model.ReaderRecord{}, false)
 			},
 			want: fresh.StepStore, wait: 200 * time.Millisecond,
 		},
--- a/internal/core/health/health.go
+++ b/internal/core/health/health.go
@@ -43,12 +43,12 @@
 	OutcomeAnswered Outcome = iota + 1
 	// OutcomeFailed means that there was no answer in time or that the connection was refused; a cut may do either.
 	OutcomeFailed
-	// OutcomeUnknown means that this instance stood still meanwhile, so that the silence may be its own.
-	OutcomeUnknown
+	// OutcomeInconclusive means that this instance stood still meanwhile, so that the silence may be its own.
+	OutcomeInconclusive
 )
 
-// Track follows the signs of life of one upstream; its zero value knows nothing and trusts.
-type Track struct {
+// Tracker follows the signs of life of one upstream; its zero value knows nothing and trusts.
+type Tracker struct {
 	// misses counts the packets without an answer since the last sign of life.
 	misses int
 	// failed counts the probes that failed since the last sign of life.
@@ -66,13 +66,13 @@
 	pause time.Duration
 }
 
-// Alive notes a sign of life in a flow.
-func (t *Track) Alive(now model.Instant) {
-	*t = Track{life: now, probing: t.probing}
+// RecordSuccess notes a sign of life in a flow.
+func (t *Tracker) RecordSuccess(now model.Instant) {
+	*t = Tracker{life: now, probing: t.probing}
 }
 
-// Miss notes that a packet sent at the instant got no answer in time; one sent before the last sign of life says nothing.
-func (t *Track) Miss(sent model.Instant) {
+// RecordTimeout notes that a packet sent at the instant got no answer in time; one sent before the last sign of life says nothing.
+func (t *Tracker) RecordTimeout(sent model.Instant) {
 	if sent < t.life {
 		return
 	}
@@ -82,15 +82,15 @@
 	t.misses++
 }
 
-// Doubt lets a probe find out about an upstream that was not used lately.
-func (t *Track) Doubt(now model.Instant) {
+// MarkSuspect lets a probe find out about an upstream that was not used lately.
+func (t *Tracker) MarkSuspect(now model.Instant) {
 	if t.misses == 0 && t.failed == 0 {
 		t.misses, t.since = 1, now
 	}
 }
 
-// Probe reports whether a probe must begin now; Probed must follow.
-func (t *Track) Probe(now model.Instant) bool {
+// StartProbe reports whether a probe must begin now; Probed must follow.
+func (t *Tracker) StartProbe(now model.Instant) bool {
 	if t.probing || now < t.next || (t.misses == 0 && t.failed == 0) {
 		return false
 	}
@@ -98,14 +98,14 @@
 	return true
 }
 
-// ProbeWait returns how long the probe that begins now may take.
-func (t *Track) ProbeWait() time.Duration {
+// ProbeTimeout returns how long the probe that begins now may take.
+func (t *Tracker) ProbeTimeout() time.Duration {
 	return min(probeWait<<min(t.failed, 2), probeWaitLimit)
 }
 
-// Probed notes the outcome of a probe. One that succeeds proves the path, not that flows are served: if packets still go
+// FinishProbe notes the outcome of a probe. One that succeeds proves the path, not that flows are served: if packets still go
 // unanswered after it, the next probe waits longer.
-func (t *Track) Probed(now model.Instant, outcome Outcome) {
+func (t *Tracker) FinishProbe(now model.Instant, outcome Outcome) {
 	t.probing = false
 	t.pause = min(max(t.pause*pauseGrowth, firstPause), pauseLimit)
 	t.next = now.Add(t.pause)
@@ -119,47 +119,47 @@
 	}
 }
 
-// Hurry lets the next probe begin at once.
-func (t *Track) Hurry() {
+// ExpediteProbe lets the next probe begin at once.
+func (t *Tracker) ExpediteProbe() {
 	t.next = 0
 }
 
-// Barred reports whether new flows belong elsewhere.
-func (t *Track) Barred() bool {
+// Ejected reports whether new flows belong elsewhere.
+func (t *Tracker) Ejected() bool {
 	return t.misses >= missLimit || t.failed > 0
 }
 
 // Unreachable reports whether flows and probes went unanswered for so long, without a sign of life between them, that a
 // flow is better off elsewhere; waits tells whether the flow itself got no answer.
-func (t *Track) Unreachable(waits bool) bool {
+func (t *Tracker) Unreachable(waits bool) bool {
 	return t.failed >= certainLimit || (waits && t.failed >= likelyLimit)
 }
 
-// BlamePath notes that the path to the upstream's whole failure domain is taken as cut.
-func (t *Track) BlamePath() {
+// MarkPathDown notes that the path to the upstream's whole failure domain is taken as cut.
+func (t *Tracker) MarkPathDown() {
 	t.path = t.failed > 0
 }
 
 // Down reports whether the upstream itself seems to have ended: should it come back, it may have restarted.
-func (t *Track) Down() bool {
+func (t *Tracker) Down() bool {
 	return t.failed >= likelyLimit && !t.path
 }
 
-// Misses returns how many packets in a row got no answer.
-func (t *Track) Misses() int {
+// Timeouts returns how many packets in a row got no answer.
+func (t *Tracker) Timeouts() int {
 	return t.misses
 }
 
-// Silent returns how long there was no answer although packets were sent.
-func (t *Track) Silent(now model.Instant) time.Duration {
+// UnansweredFor returns how long there was no answer although packets were sent.
+func (t *Tracker) UnansweredFor(now model.Instant) time.Duration {
 	if t.misses == 0 {
 		return 0
 	}
 	return now.Sub(t.since)
 }
 
-// Domain follows the path to one failure domain; its zero value trusts.
-type Domain struct {
+// DomainTracker follows the path to one failure domain; its zero value trusts.
+type DomainTracker struct {
 	// failed holds the upstreams whose probes failed since the last sign of life of any of the domain's.
 	failed map[model.UpstreamID]bool
 	// life is the last sign of life of any of them.
@@ -168,16 +168,16 @@
 	cut bool
 }
 
-// Alive notes a sign of life of any upstream of the domain; it reports whether the path had been taken as cut.
-func (d *Domain) Alive(now model.Instant) bool {
+// RecordSuccess notes a sign of life of any upstream of the domain; it reports whether the path had been taken as cut.
+func (d *DomainTracker) RecordSuccess(now model.Instant) bool {
 	was := d.cut
 	d.life, d.cut = now, false
 	clear(d.failed)
 	return was
 }
 
-// Failed notes that a probe of one upstream failed; it reports whether the path is taken as cut from now on.
-func (d *Domain) Failed(now model.Instant, id model.UpstreamID) bool {
+// RecordProbeFailure notes that a probe of one upstream failed; it reports whether the path is taken as cut from now on.
+func (d *DomainTracker) RecordProbeFailure(now model.Instant, id model.UpstreamID) bool {
 	if d.failed == nil {
 		d.failed = map[model.UpstreamID]bool{}
 	}
@@ -189,12 +189,12 @@
 	return true
 }
 
-// Doubtful reports whether the domain was silent for so long that one failed probe concerns all of it.
-func (d *Domain) Doubtful(now model.Instant) bool {
+// Suspected reports whether the domain was silent for so long that one failed probe concerns all of it.
+func (d *DomainTracker) Suspected(now model.Instant) bool {
 	return now.Sub(d.life) >= siblingSilence
 }
 
-// Cut reports whether the path to the whole domain is taken as cut.
-func (d *Domain) Cut() bool {
+// Partitioned reports whether the path to the whole domain is taken as cut.
+func (d *DomainTracker) Partitioned() bool {
 	return d.cut
 }
--- a/internal/core/model/action.go
+++ b/internal/core/model/action.go
@@ -12,18 +12,18 @@
 const (
 	// VerbForward sends Raw to the upstream.
 	VerbForward Verb = iota + 1
-	// VerbHand hands the packet to a peer.
-	VerbHand
-	// VerbHandAnswer hands the answer to a peer, which delivers it and awaits its acknowledgement.
-	VerbHandAnswer
+	// VerbHandOff hands the packet to a peer.
+	VerbHandOff
+	// VerbHandOffAnswer hands the answer to a peer, which delivers it and awaits its acknowledgement.
+	VerbHandOffAnswer
 	// VerbDeliver sends Raw to the caller.
 	VerbDeliver
 	// VerbChallenge asks the caller to repeat its request with Binding.
 	VerbChallenge
 	// VerbRefuse tells the caller that its request was not run.
 	VerbRefuse
-	// VerbUnknown tells the caller that the outcome of its request is unknown.
-	VerbUnknown
+	// VerbOutcomeUnknown tells the caller that the outcome of its request is unknown.
+	VerbOutcomeUnknown
 	// VerbDrop only counts.
 	VerbDrop
 	// VerbReset ends a flow towards its caller.
--- a/internal/core/model/knowledge.go
+++ b/internal/core/model/knowledge.go
@@ -6,41 +6,41 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Knowledge is all that an instance knows from the platform.
-type Knowledge struct {
+// Snapshot is all that an instance knows from the platform.
+type Snapshot struct {
 	// Revision is the store's up to which every part is complete; parts may hold later changes, too.
 	Revision  Revision
 	Upstreams Listing[Registration]
 	Routes    RouteTable
 	// Out holds the failure domains that operators have taken out.
 	Out []DomainID
-	// OutAt is the revision up to which Out is complete.
-	OutAt Revision
+	// OutRevision is the revision up to which Out is complete.
+	OutRevision Revision
 	// Age is how long ago the store confirmed that nothing is newer.
 	Age time.Duration
-	// Unsure is for how much longer a missing upstream proves nothing, since the store was away.
-	Unsure time.Duration
-	// Place is the number of the instance that is told.
-	Place Place
+	// GraceLeft is for how much longer a missing upstream proves nothing, since the store was away.
+	GraceLeft time.Duration
+	// Ordinal is the number of the instance that is told.
+	Ordinal Ordinal
 }
 
-// NotBefore returns the knowledge with the parts of an earlier one in place of those that it held at a later revision: a part that goes
+// KeepNewer returns the knowledge with the parts of an earlier one in place of those that it held at a later revision: a part that goes
 // back would bring ended upstreams to life and end new ones.
-func (k Knowledge) NotBefore(known Knowledge) Knowledge {
+func (k Snapshot) KeepNewer(known Snapshot) Snapshot {
 	if k.Upstreams.Revision < known.Upstreams.Revision {
 		k.Upstreams = known.Upstreams
 	}
 	if k.Routes.Revision < known.Routes.Revision {
 		k.Routes = known.Routes
 	}
-	if k.OutAt < known.OutAt {
-		k.Out, k.OutAt = known.Out, known.OutAt
+	if k.OutRevision < known.OutRevision {
+		k.Out, k.OutRevision = known.Out, known.OutRevision
 	}
 	return k
 }
 
 // Digest tells two states of knowledge apart that bear the same revision; it is zero for nothing known.
-func (k *Knowledge) Digest() uint64 {
+func (k *Snapshot) Digest() uint64 {
 	if k.Revision == 0 {
 		return 0
 	}
--- a/internal/core/model/knowledge_test.go
+++ b/internal/core/model/knowledge_test.go
@@ -10,13 +10,13 @@
 
 // TestNotBefore checks that no part of what is known goes back, whatever revision the whole bears.
 func TestNotBefore(t *testing.T) {
-	at := func(upstreams, routes, out model.Revision) model.Knowledge {
-		k := model.Knowledge{Revision: 10, OutAt: out}
+	at := func(upstreams, routes, out model.Revision) model.Snapshot {
+		k := model.Snapshot{Revision: 10, OutRevision: out}
 		k.Upstreams.Revision, k.Routes.Revision = upstreams, routes
 		return k
 	}
 	cases := map[string]struct {
-		told, want model.Knowledge
+		told, want model.Snapshot
 	}{
 		"all later":         {told: at(21, 22, 23), want: at(21, 22, 23)},
 		"all earlier":       {told: at(11, 12, 13), want: at(20, 20, 20)},
@@ -26,7 +26,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(tc.told.NotBefore(at(20, 20, 20)), tc.want)
+			is.New(t).Equal(tc.told.KeepNewer(at(20, 20, 20)), tc.want)
 		})
 	}
 }
@@ -34,19 +34,19 @@
 // TestDigest checks that states of knowledge with the same revision have different digests, whatever differs, and that order does not.
 func TestDigest(t *testing.T) {
 	is := is.New(t)
-	base := func() model.Knowledge {
-		k := model.Knowledge{Revision: 7, Out: []model.DomainID{"east"}}
+	base := func() model.Snapshot {
+		k := model.Snapshot{Revision: 7, Out: []model.DomainID{"east"}}
 		k.Upstreams.Items = []model.Registration{entry("a", 1), entry("b", 2)}
 		return k
 	}
-	changes := map[string]func(*model.Knowledge){
-		"an upstream has changed":   func(k *model.Knowledge) { k.Upstreams.Items[0].Revision++ },
-		"an upstream has gone":      func(k *model.Knowledge) { k.Upstreams.Items = k.Upstreams.Items[:1] },
-		"two changed places":        func(k *model.Knowledge) { k.Upstreams.Items[0].Revision, k.Upstreams.Items[1].Revision = 2, 1 },
-		"one cannot be read":        func(k *model.Knowledge) { k.Upstreams.Unreadable = []string{"a"} },
-		"another configuration":     func(k *model.Knowledge) { k.Routes.Revision = 5 },
-		"no failure domain is out":  func(k *model.Knowledge) { k.Out = nil },
-		"nothing is known any more": func(k *model.Knowledge) { k.Revision = 0 },
+	changes := map[string]func(*model.Snapshot){
+		"an upstream has changed":   func(k *model.Snapshot) { k.Upstreams.Items[0].Revision++ },
+		"an upstream has gone":      func(k *model.Snapshot) { k.Upstreams.Items = k.Upstreams.Items[:1] },
+		"two changed places":        func(k *model.Snapshot) { k.Upstreams.Items[0].Revision, k.Upstreams.Items[1].Revision = 2, 1 },
+		"one cannot be read":        func(k *model.Snapshot) { k.Upstreams.Unreadable = []string{"a"} },
+		"another configuration":     func(k *model.Snapshot) { k.Routes.Revision = 5 },
+		"no failure domain is out":  func(k *model.Snapshot) { k.Out = nil },
+		"nothing is known any more": func(k *model.Snapshot) { k.Revision = 0 },
 	}
 	first := base()
 	for name, change := range changes {
--- a/internal/core/model/listing.go
+++ b/internal/core/model/listing.go
@@ -12,8 +12,8 @@
 type Changes[T any] struct {
 	// Items holds the objects that are new or different.
 	Items []T
-	// Gone names the objects that are no more.
-	Gone []string
+	// Deleted names the objects that are no more.
+	Deleted []string
 	// Unreadable names the new or different objects whose content could not be understood.
 	Unreadable []string
 	// Newest is the revision of the last change; zero for none.
@@ -25,13 +25,13 @@
 // Apply returns the listing after the changes; name returns what an object is called.
 func (l Listing[T]) Apply(c Changes[T], name func(*T) string) Listing[T] {
 	out := Listing[T]{Revision: max(l.Revision, c.Revision)}
-	out.Items = Merge(l.Items, c.Items, append(c.Gone[:len(c.Gone):len(c.Gone)], c.Unreadable...), name)
-	readable := make([]string, 0, len(c.Items)+len(c.Gone))
+	out.Items = Merge(l.Items, c.Items, append(c.Deleted[:len(c.Deleted):len(c.Deleted)], c.Unreadable...), name)
+	readable := make([]string, 0, len(c.Items)+len(c.Deleted))
 	for i := range c.Items {
 		readable = append(readable, name(&c.Items[i]))
 	}
 	text := func(s *string) string { return *s }
-	out.Unreadable = Merge(l.Unreadable, c.Unreadable, append(readable, c.Gone...), text)
+	out.Unreadable = Merge(l.Unreadable, c.Unreadable, append(readable, c.Deleted...), text)
 	return out
 }
 
--- a/internal/core/model/listing_test.go
+++ b/internal/core/model/listing_test.go
@@ -17,7 +17,7 @@
 	is := is.New(t)
 	have := model.Listing[model.Registration]{Items: []model.Registration{entry("a", 1), entry("b", 2), entry("c", 3)}, Unreadable: []string{"x", "y"}, Revision: 5}
 	got := have.Apply(model.Changes[model.Registration]{
-		Items: []model.Registration{entry("d", 9), entry("b", 8), entry("x", 7)}, Gone: []string{"a", "y", "z"}, Unreadable: []string{"c"}, Revision: 9,
+		Items: []model.Registration{entry("d", 9), entry("b", 8), entry("x", 7)}, Deleted: []string{"a", "y", "z"}, Unreadable: []string{"c"}, Revision: 9,
 	}, model.UpstreamName)
 	is.Equal(got, model.Listing[model.Registration]{
 		Items: []model.Registration{entry("b", 8), entry("d", 9), entry("x", 7)}, Unreadable: []string{"c"}, Revision: 9,
--- a/internal/core/model/member.go
+++ b/internal/core/model/member.go
@@ -38,8 +38,8 @@
 	State       MemberState
 	// Control is the address for calls between instances.
 	Control netip.AddrPort
-	// Hand is the address for packets handed between instances.
-	Hand netip.AddrPort
+	// HandOff is the address for packets handed between instances.
+	HandOff netip.AddrPort
 }
 
 // Tag returns the name of the member's present start inside bindings.
--- a/internal/core/model/packet.go
+++ b/internal/core/model/packet.go
@@ -7,8 +7,8 @@
 
 // The classes of packets from callers.
 const (
-	// ClassAny is an idempotent request that any upstream of the service may answer.
-	ClassAny Class = iota + 1
+	// ClassIdempotent is an idempotent request that any upstream of the service may answer.
+	ClassIdempotent Class = iota + 1
 	// ClassSticky opens or refreshes a stream, or carries one block of an idempotent transfer.
 	ClassSticky
 	// ClassOnce is a request that is not idempotent.
@@ -50,12 +50,12 @@
 	Binding []byte
 	// Digest covers the request without its token, message ID and binding.
 	Digest uint64
-	// Part numbers the block of a transfer in parts, from zero.
-	Part uint32
+	// Block numbers the block of a transfer in parts, from zero.
+	Block uint32
 	// Hops counts the instances that handed the packet on; at most MaxHops.
 	Hops uint8
-	// Toward is the upstream that a peer found for the packet's flow; empty for none.
-	Toward UpstreamID
+	// Upstream is the upstream that a peer found for the packet's flow; empty for none.
+	Upstream UpstreamID
 	// Raw is the datagram as received; it is never changed.
 	Raw []byte
 }
@@ -77,8 +77,8 @@
 	OutcomeDone Outcome = iota + 1
 	// OutcomeNotRun is the upstream's own word that the request was not run.
 	OutcomeNotRun
-	// OutcomeNotice is one notification of a stream, which stays open.
-	OutcomeNotice
+	// OutcomeNotification is one notification of a stream, which stays open.
+	OutcomeNotification
 	// OutcomeControl is a message without a token, such as an empty acknowledgement.
 	OutcomeControl
 )
@@ -96,9 +96,9 @@
 	From netip.AddrPort
 	// Boot is the upstream's start, or zero if it does not tell.
 	Boot BootID
-	// Home is set on an answer that another instance handed here for its acknowledgement.
-	Home bool
-	Raw  []byte
+	// HandedOff is set on an answer that another instance handed here for its acknowledgement.
+	HandedOff bool
+	Raw       []byte
 }
 
 // Exchange returns the key of the answer's exchange.
--- a/internal/core/model/seat.go
+++ b/internal/core/model/seat.go
@@ -2,8 +2,8 @@
 
 import "net/netip"
 
-// Seat names the instance that reads the platform's store for its failure domain.
-type Seat struct {
+// ReaderRecord names the instance that reads the platform's store for its failure domain.
+type ReaderRecord struct {
 	Domain DomainID
 	// Holder is empty while nobody has taken the seat.
 	Holder InstanceID
@@ -13,10 +13,10 @@
 	Revision Revision
 }
 
-// Place is the number of one instance among those of its failure domain; its zero value is none.
-type Place struct {
+// Ordinal is the number of one instance among those of its failure domain; its zero value is none.
+type Ordinal struct {
 	// Index is below Of.
 	Index int
-	// Of is one more than the highest number that is taken.
-	Of int
+	// Count is one more than the highest number that is taken.
+	Count int
 }
--- a/internal/core/model/view.go
+++ b/internal/core/model/view.go
@@ -17,10 +17,10 @@
 	// Running is the number of requests that the instance runs there.
 	Running int
 	// Streams is the number of flows that the instance relayed lately.
-	Streams int
-	Cold    bool
-	Unsure  bool
-	Closed  bool
+	Streams         int
+	Cold            bool
+	StartUnverified bool
+	NoNewWork       bool
 }
 
 // DirectView is what one instance believes of one upstream whose answers go straight to callers.
--- a/internal/core/place/load.go
+++ b/internal/core/place/load.go
@@ -14,7 +14,7 @@
 	// Flows counts the open flows; never negative.
 	Flows int
 	// speed follows the time from a request to its answer.
-	speed choose.Speed
+	speed choose.LatencyAverage
 }
 
 // Observe adds the time from a request to its answer.
--- a/internal/core/place/place.go
+++ b/internal/core/place/place.go
@@ -24,8 +24,8 @@
 	Local bool
 }
 
-// Policy returns the way that upstreams of new flows are picked.
-func Policy[T any]() choose.Policy[Candidate[T]] {
+// NewPolicy returns the way that upstreams of new flows are picked.
+func NewPolicy[T any]() choose.Policy[Candidate[T]] {
 	return localFirst[T]{sample: choose.BestOf[Candidate[T]]{N: sampleSize, Score: score[T]}}
 }
 
@@ -69,8 +69,8 @@
 	return float64(c.Load.AnswerTime()) * work
 }
 
-// Target picks one of several weighted values; weights are above zero.
-func Target[T any](values []T, weight func(T) float64, rng *rand.Rand) T {
+// PickWeighted picks one of several weighted values; weights are above zero.
+func PickWeighted[T any](values []T, weight func(T) float64, rng *rand.Rand) T {
 	if len(values) == 1 {
 		return values[0]
 	}
--- a/internal/core/recent/recent.go
+++ b/internal/core/recent/recent.go
@@ -36,8 +36,8 @@
 	return len(t.items)
 }
 
-// Use returns the value of the key and keeps it from lapsing; it returns nil for none.
-func (t *Table[K, V]) Use(now model.Instant, key K) *V {
+// Touch returns the value of the key and keeps it from lapsing; it returns nil for none.
+func (t *Table[K, V]) Touch(now model.Instant, key K) *V {
 	it := t.items[key]
 	if it == nil {
 		return nil
--- a/internal/core/recent/recent_test.go
+++ b/internal/core/recent/recent_test.go
@@ -17,7 +17,7 @@
 	is.True(table.Put(0, "lapsed", 2))
 	is.True(!table.Put(0, "one too many", 3))
 	now := model.Instant(0).Add(3 * time.Second)
-	is.Equal(*table.Use(now, "kept"), 1)
+	is.Equal(*table.Touch(now, "kept"), 1)
 	var gone []string
 	note := func(key string, _ *int) { gone = append(gone, key) }
 	table.Expire(now.Add(2*time.Second), 4*time.Second, note)
--- a/internal/core/rendez/rendez.go
+++ b/internal/core/rendez/rendez.go
@@ -65,8 +65,8 @@
 	return first, second
 }
 
-// Weighted returns the score of a name for the key; the highest wins, in proportion to weights.
-func Weighted(key Key, name string, weight float64) float64 {
+// WeightedScore returns the score of a name for the key; the highest wins, in proportion to weights.
+func WeightedScore(key Key, name string, weight float64) float64 {
 	h := mix(xxhash.Sum64String(name) ^ uint64(key))
 	unit := (float64(h>>11) + 0.5) / (1 << 53)
 	return -weight / math.Log(unit)
--- a/internal/core/roster/bench_test.go
+++ b/internal/core/roster/bench_test.go
@@ -26,7 +26,7 @@
 // BenchmarkSync takes over a whole listing in which one upstream has changed.
 func BenchmarkSync(b *testing.B) {
 	list := many(planned)
-	r := roster.New(roster.Config{Remember: time.Minute})
+	r := roster.New(roster.Config{TagRetention: time.Minute})
 	r.Sync(1, list)
 	for b.Loop() {
 		list.Items[7].Revision++
--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -10,13 +10,13 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// LapseGrace is how long a missing entry may come back after the registry's return: the platform names about two seconds, and a half is for its delay.
-const LapseGrace = 2500 * time.Millisecond
+// OutageGrace is how long a missing entry may come back after the registry's return: the platform names about two seconds, and a half is for its delay.
+const OutageGrace = 2500 * time.Millisecond
 
 // Config is what a Roster is built from.
 type Config struct {
-	// Remember is how long the tag of an upstream that has ended is known, which is the life of a flow.
-	Remember time.Duration
+	// TagRetention is how long the tag of an upstream that has ended is known, which is the life of a flow.
+	TagRetention time.Duration
 }
 
 // tagKey finds an upstream: tags are compared within one service only.
@@ -49,11 +49,11 @@
 	// out holds the failure domains that operators have taken out.
 	out map[model.DomainID]model.Instant
 	// notes collects changes of state for the log.
-	notes []Note
+	notes []StateChange
 }
 
-// Note is one change of what is believed of an upstream.
-type Note struct {
+// StateChange is one change of what is believed of an upstream.
+type StateChange struct {
 	Upstream *Upstream
 	State    State
 }
@@ -67,13 +67,13 @@
 		services:  map[model.ServiceID][]*Upstream{},
 		addresses: map[netip.AddrPort]*Upstream{},
 		out:       map[model.DomainID]model.Instant{},
-		unsure:    model.Instant(LapseGrace),
+		unsure:    model.Instant(OutageGrace),
 	}
 }
 
-// SetRemember replaces how long the tag of an upstream that has ended is known.
-func (r *Roster) SetRemember(d time.Duration) {
-	r.cfg.Remember = d
+// SetTagRetention replaces how long the tag of an upstream that has ended is known.
+func (r *Roster) SetTagRetention(d time.Duration) {
+	r.cfg.TagRetention = d
 }
 
 // Sync takes over a whole listing; what it lacks is missing.
@@ -111,8 +111,8 @@
 	}
 }
 
-// Distrust notes that the registry was away: until then, a missing entry may come back.
-func (r *Roster) Distrust(until model.Instant) {
+// ExtendGrace notes that the registry was away: until then, a missing entry may come back.
+func (r *Roster) ExtendGrace(until model.Instant) {
 	r.unsure = max(r.unsure, until)
 }
 
@@ -122,7 +122,7 @@
 	if now < r.unsure {
 		return
 	}
-	for _, u := range r.these(func(u *Upstream) bool { return u.State == StateMissing && now.Sub(u.Since) >= LapseGrace }) {
+	for _, u := range r.these(func(u *Upstream) bool { return u.State == StateMissing && now.Sub(u.Since) >= OutageGrace }) {
 		r.end(now, u)
 	}
 }
@@ -133,9 +133,9 @@
 	return r.confirmed > since && now >= r.unsure && !r.spoilt
 }
 
-// Tick forgets the upstreams that ended long ago.
-func (r *Roster) Tick(now model.Instant) {
-	for len(r.ended) > 0 && now.Sub(r.ended[0].Since) >= r.cfg.Remember {
+// ExpireTags forgets the upstreams that ended long ago.
+func (r *Roster) ExpireTags(now model.Instant) {
+	for len(r.ended) > 0 && now.Sub(r.ended[0].Since) >= r.cfg.TagRetention {
 		old := r.ended[0]
 		r.ended = r.ended[1:]
 		if r.tags[old.key()] == old {
@@ -144,8 +144,8 @@
 	}
 }
 
-// Find returns the upstream of the service with the tag, or nil.
-func (r *Roster) Find(service model.ServiceID, tag model.RoutingTag) *Upstream {
+// ByTag returns the upstream of the service with the tag, or nil.
+func (r *Roster) ByTag(service model.ServiceID, tag model.RoutingTag) *Upstream {
 	return r.tags[tagKey{service: service, tag: tag}]
 }
 
@@ -154,8 +154,8 @@
 	return r.current[id]
 }
 
-// Of returns the current upstreams of a service; the caller must not change the slice.
-func (r *Roster) Of(service model.ServiceID) []*Upstream {
+// ByService returns the current upstreams of a service; the caller must not change the slice.
+func (r *Roster) ByService(service model.ServiceID) []*Upstream {
 	return r.services[service]
 }
 
@@ -197,8 +197,8 @@
 	return len(r.current)
 }
 
-// Notes returns the changes of state since the last call.
-func (r *Roster) Notes() []Note {
+// TakeStateChanges returns the changes of state since the last call.
+func (r *Roster) TakeStateChanges() []StateChange {
 	notes := r.notes
 	r.notes = nil
 	return notes
@@ -223,7 +223,7 @@
 		u.ColdUntil = now.Add(reg.ColdFor)
 	}
 	if u.Draining != reg.Draining {
-		r.notes = append(r.notes, Note{Upstream: u, State: u.State})
+		r.notes = append(r.notes, StateChange{Upstream: u, State: u.State})
 	}
 	u.Registration = *reg
 	r.set(now, u, StateListed)
@@ -306,7 +306,7 @@
 		return
 	}
 	u.State, u.Since = s, now
-	r.notes = append(r.notes, Note{Upstream: u, State: s})
+	r.notes = append(r.notes, StateChange{Upstream: u, State: s})
 }
 
 func (u *Upstream) key() tagKey {
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -39,7 +39,7 @@
 			want: roster.StateMissing,
 		},
 		"its entry is missing soon after the store was away": {
-			play: func(r *roster.Roster) { r.Distrust(settled.Add(time.Second)); r.Sync(settled, listing()) },
+			play: func(r *roster.Roster) { r.ExtendGrace(settled.Add(time.Second)); r.Sync(settled, listing()) },
 			want: roster.StateMissing,
 		},
 		"it said that it would leave, and its entry is missing soon after the store was away": {
@@ -47,33 +47,33 @@
 				leaving := entry(1, 2)
 				leaving.Draining = true
 				r.Sync(settled, listing(leaving))
-				r.Distrust(settled.Add(time.Second))
+				r.ExtendGrace(settled.Add(time.Second))
 				r.Sync(settled, listing())
 			},
 			want: roster.StateMissing,
 		},
 		"its entry does not come back after the store was away": {
 			play: func(r *roster.Roster) {
-				r.Distrust(settled.Add(roster.LapseGrace))
+				r.ExtendGrace(settled.Add(roster.OutageGrace))
 				r.Sync(settled, listing())
-				r.Confirm(settled.Add(roster.LapseGrace), settled.Add(roster.LapseGrace))
+				r.Confirm(settled.Add(roster.OutageGrace), settled.Add(roster.OutageGrace))
 			},
 			want: roster.StateGone,
 		},
 		"nothing was heard since its entry was found missing after the store was away": {
 			play: func(r *roster.Roster) {
-				r.Distrust(settled.Add(roster.LapseGrace))
+				r.ExtendGrace(settled.Add(roster.OutageGrace))
 				r.Sync(settled, listing())
-				r.Tick(settled.Add(10 * time.Second))
+				r.ExpireTags(settled.Add(10 * time.Second))
 			},
 			want: roster.StateMissing,
 		},
 		"its entry comes back after the store was away": {
 			play: func(r *roster.Roster) {
-				r.Distrust(settled.Add(roster.LapseGrace))
+				r.ExtendGrace(settled.Add(roster.OutageGrace))
 				r.Sync(settled, listing())
 				r.Sync(settled.Add(2*time.Second), listing(entry(1, 2)))
-				r.Tick(settled.Add(time.Minute))
+				r.ExpireTags(settled.Add(time.Minute))
 			},
 			want: roster.StateListed,
 		},
@@ -98,12 +98,12 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r := roster.New(roster.Config{Remember: time.Minute})
+			r := roster.New(roster.Config{TagRetention: time.Minute})
 			r.Sync(0, listing(entry(1, 1)))
-			up := r.Of("orders")[0]
+			up := r.ByService("orders")[0]
 			tc.play(r)
 			is.Equal(up.State, tc.want)
-			is.Equal(r.Find("orders", up.Tag) != nil, true)
+			is.Equal(r.ByTag("orders", up.Tag) != nil, true)
 		})
 	}
 }
@@ -118,7 +118,7 @@
 		"the confirmation is of an earlier moment": {play: func(r *roster.Roster) { r.Confirm(settled.Add(2), settled.Add(-1)) }},
 		"the store was away lately": {
 			play: func(r *roster.Roster) {
-				r.Distrust(settled.Add(time.Second))
+				r.ExtendGrace(settled.Add(time.Second))
 				r.Confirm(settled.Add(2), settled.Add(1))
 			},
 		},
@@ -131,7 +131,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := roster.New(roster.Config{Remember: time.Minute})
+			r := roster.New(roster.Config{TagRetention: time.Minute})
 			tc.play(r)
 			is.New(t).Equal(r.Complete(settled.Add(2), settled), tc.want)
 		})
@@ -158,11 +158,11 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r := roster.New(roster.Config{Remember: time.Minute})
+			r := roster.New(roster.Config{TagRetention: time.Minute})
 			e := entry(1, 1)
 			tc.change(r, &e)
 			r.Sync(settled, listing(e))
-			is.Equal(r.Usable(r.Of("orders")[0]), tc.want)
+			is.Equal(r.Usable(r.ByService("orders")[0]), tc.want)
 		})
 	}
 }
@@ -170,28 +170,28 @@
 // TestTags checks that two starts, and two services, never share a tag by construction, and that a tag is forgotten.
 func TestTags(t *testing.T) {
 	is := is.New(t)
-	r := roster.New(roster.Config{Remember: time.Minute})
+	r := roster.New(roster.Config{TagRetention: time.Minute})
 	r.Sync(0, listing(entry(1, 1)))
-	first := r.Of("orders")[0]
+	first := r.ByService("orders")[0]
 	r.Sync(settled, listing(entry(2, 5)))
-	second := r.Of("orders")[0]
+	second := r.ByService("orders")[0]
 	is.True(first.Tag != second.Tag)
-	is.Equal(r.Find("orders", first.Tag), first)
-	is.Equal(r.Find("orders", second.Tag), second)
-	is.Equal(r.Find("claims", second.Tag), (*roster.Upstream)(nil))
-	r.Tick(settled.Add(time.Minute))
-	is.Equal(r.Find("orders", first.Tag), (*roster.Upstream)(nil))
-	is.Equal(r.Find("orders", second.Tag), second)
+	is.Equal(r.ByTag("orders", first.Tag), first)
+	is.Equal(r.ByTag("orders", second.Tag), second)
+	is.Equal(r.ByTag("claims", second.Tag), (*roster.Upstream)(nil))
+	r.ExpireTags(settled.Add(time.Minute))
+	is.Equal(r.ByTag("orders", first.Tag), (*roster.Upstream)(nil))
+	is.Equal(r.ByTag("orders", second.Tag), second)
 }
 
 // TestCold checks that only a new write makes an upstream cold again.
 func TestCold(t *testing.T) {
 	is := is.New(t)
-	r := roster.New(roster.Config{Remember: time.Minute})
+	r := roster.New(roster.Config{TagRetention: time.Minute})
 	e := entry(1, 1)
 	e.ColdFor = 2 * time.Second
 	r.Sync(0, listing(e))
-	up := r.Of("orders")[0]
+	up := r.ByService("orders")[0]
 	r.Sync(model.Instant(time.Second), listing(e))
 	is.True(up.Cold(model.Instant(1900 * time.Millisecond)))
 	is.True(!up.Cold(model.Instant(2 * time.Second)))
@@ -220,17 +220,17 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r := roster.New(roster.Config{Remember: time.Minute})
+			r := roster.New(roster.Config{TagRetention: time.Minute})
 			r.Sync(settled, listing(first))
 			// The entry of the one that has ended stays for a while.
 			for n := range 3 {
 				r.Sync(settled.Add(time.Duration(n)*time.Second), listing(first, tc.other))
 			}
 			gone := 0
-			for _, n := range r.Notes() {
+			for _, n := range r.TakeStateChanges() {
 				if n.State == roster.StateGone {
 					is.Equal(n.Upstream.ID, tc.ended)
-					is.Equal(r.Find(n.Upstream.Service, n.Upstream.Tag), n.Upstream)
+					is.Equal(r.ByTag(n.Upstream.Service, n.Upstream.Tag), n.Upstream)
 					gone++
 				}
 			}
--- a/internal/core/roster/upstream.go
+++ b/internal/core/roster/upstream.go
@@ -48,7 +48,7 @@
 	// ColdUntil is when the upstream is warm by its own word.
 	ColdUntil model.Instant
 	Load      place.Load
-	Health    health.Track
+	Health    health.Tracker
 	// replaced is set once a later start has its address.
 	replaced bool
 	// atService and atAll are its places in the roster's lists while it is current.
--- a/internal/core/units/units.go
+++ b/internal/core/units/units.go
@@ -19,11 +19,11 @@
 type Table struct {
 	cfg Config
 	// shares holds an entry for each upstream of the document in force.
-	shares map[model.UpstreamID]*Share
+	shares map[model.UpstreamID]*Allocation
 }
 
-// Share is the division of one upstream's slots.
-type Share struct {
+// Allocation is the division of one upstream's slots.
+type Allocation struct {
 	// Owners holds the owner of each slot; it is empty while nobody may own them.
 	Owners []model.InstanceID
 	// usable holds, for each slot, from when its owner may use it by all that is known here.
@@ -35,28 +35,28 @@
 	ready int
 }
 
-// View is what ownership is computed from.
-type View struct {
+// Inputs is what ownership is computed from.
+type Inputs struct {
 	Document *model.Document
 	// Members holds every known instance, this one too.
 	Members []model.Member
-	// Adopted names the domains whose slots may be owned from elsewhere.
-	Adopted map[model.DomainID]bool
+	// Orphaned names the domains whose slots may be owned from elsewhere.
+	Orphaned map[model.DomainID]bool
 }
 
 // NewTable returns a table without units.
 func NewTable(cfg Config) *Table {
-	return &Table{cfg: cfg, shares: map[model.UpstreamID]*Share{}}
+	return &Table{cfg: cfg, shares: map[model.UpstreamID]*Allocation{}}
 }
 
-// Share returns the division of the upstream's slots, or nil.
-func (t *Table) Share(id model.UpstreamID) *Share {
+// Allocation returns the division of the upstream's slots, or nil.
+func (t *Table) Allocation(id model.UpstreamID) *Allocation {
 	return t.shares[id]
 }
 
 // Update computes ownership anew; a unit gained now is usable only after the hold-off.
-func (t *Table) Update(now model.Instant, v View) {
-	next := make(map[model.UpstreamID]*Share, len(t.shares))
+func (t *Table) Update(now model.Instant, v Inputs) {
+	next := make(map[model.UpstreamID]*Allocation, len(t.shares))
 	pools := ownerPools(v)
 	for i := range v.Document.Services {
 		svc := &v.Document.Services[i]
@@ -74,16 +74,16 @@
 	return timing.Detection + svc.RequestTimeout
 }
 
-// Forget makes every own unit newly gained, as after a pause of the process.
-func (t *Table) Forget() {
+// RestartHoldOff makes every own unit newly gained, as after a pause of the process.
+func (t *Table) RestartHoldOff() {
 	for _, s := range t.shares {
 		clear(s.mine)
 		s.waits, s.ready = nil, 0
 	}
 }
 
-func (t *Table) share(now model.Instant, up *model.Upstream, pool []rendez.Candidate[model.InstanceID], holdOff time.Duration) *Share {
-	s := &Share{mine: map[int]model.Instant{}}
+func (t *Table) share(now model.Instant, up *model.Upstream, pool []rendez.Candidate[model.InstanceID], holdOff time.Duration) *Allocation {
+	s := &Allocation{mine: map[int]model.Instant{}}
 	if len(pool) == 0 {
 		return s
 	}
@@ -109,16 +109,16 @@
 	return s
 }
 
-func (s *Share) ownedBy(n int, id model.InstanceID) bool {
+func (s *Allocation) ownedBy(n int, id model.InstanceID) bool {
 	return s != nil && n < len(s.Owners) && s.Owners[n] == id
 }
 
-// Open reports whether the owner of the slot may use it by all that is known here.
-func (s *Share) Open(now model.Instant, n int) bool {
+// SlotUsable reports whether the owner of the slot may use it by all that is known here.
+func (s *Allocation) SlotUsable(now model.Instant, n int) bool {
 	return s.usable[n] <= now
 }
 
-func (s *Share) since(n int) (model.Instant, bool) {
+func (s *Allocation) since(n int) (model.Instant, bool) {
 	if s == nil {
 		return 0, false
 	}
@@ -127,26 +127,26 @@
 }
 
 // Usable returns how many slots this instance may use now; now must not fall from call to call.
-func (s *Share) Usable(now model.Instant) int {
+func (s *Allocation) Usable(now model.Instant) int {
 	for s.ready < len(s.waits) && s.waits[s.ready] <= now {
 		s.ready++
 	}
 	return s.ready
 }
 
-// Mine returns how many slots this instance owns, usable or not.
-func (s *Share) Mine() int {
+// Owned returns how many slots this instance owns, usable or not.
+func (s *Allocation) Owned() int {
 	return len(s.mine)
 }
 
-// Probation reports whether this instance alone may use the upstream during a cold start or while its state is unsure.
-func (s *Share) Probation(now model.Instant) bool {
+// IsPrimary reports whether this instance alone may use the upstream during a cold start or while its state is unsure.
+func (s *Allocation) IsPrimary(now model.Instant) bool {
 	usable, held := s.since(0)
 	return held && usable <= now
 }
 
-// Prober returns the owner of the first slot, which alone may use the upstream during a cold start.
-func (s *Share) Prober() model.InstanceID {
+// Primary returns the owner of the first slot, which alone may use the upstream during a cold start.
+func (s *Allocation) Primary() model.InstanceID {
 	if s == nil || len(s.Owners) == 0 {
 		return ""
 	}
@@ -154,7 +154,7 @@
 }
 
 // ownerPools returns the possible owners of each domain's slots.
-func ownerPools(v View) map[model.DomainID][]rendez.Candidate[model.InstanceID] {
+func ownerPools(v Inputs) map[model.DomainID][]rendez.Candidate[model.InstanceID] {
 	pools := map[model.DomainID][]rendez.Candidate[model.InstanceID]{}
 	var all []rendez.Candidate[model.InstanceID]
 	for _, m := range v.Members {
@@ -166,7 +166,7 @@
 		pools[m.Domain] = append(pools[m.Domain], c)
 		all = append(all, c)
 	}
-	for id, adopted := range v.Adopted {
+	for id, adopted := range v.Orphaned {
 		if adopted && len(pools[id]) == 0 {
 			pools[id] = all
 		}
@@ -174,8 +174,8 @@
 	return pools
 }
 
-// Owns reports whether this instance owns any slot.
-func (t *Table) Owns() bool {
+// OwnsAny reports whether this instance owns any slot.
+func (t *Table) OwnsAny() bool {
 	for _, s := range t.shares {
 		if len(s.mine) > 0 {
 			return true
--- a/internal/core/units/units_test.go
+++ b/internal/core/units/units_test.go
@@ -54,7 +54,7 @@
 			}
 			for _, n := range rapid.Permutation([]int{0, 1, 2, 3, 4}).Draw(t, "order") {
 				now = now.Add(doc.Timing.Detection / instances)
-				tables[n].Update(now, units.View{Document: doc, Members: members(states)})
+				tables[n].Update(now, units.Inputs{Document: doc, Members: members(states)})
 				checkShares(t, doc, tables, now)
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 6).Draw(t, "pause")) * time.Second)
@@ -67,9 +67,9 @@
 	for _, up := range doc.Services[0].Upstreams {
 		usable, probers := 0, 0
 		for _, table := range tables {
-			if s := table.Share(up.ID); s != nil {
+			if s := table.Allocation(up.ID); s != nil {
 				usable += s.Usable(now)
-				if s.Probation(now) {
+				if s.IsPrimary(now) {
 					probers++
 				}
 			}
--- a/internal/oper/status/relay.go
+++ b/internal/oper/status/relay.go
@@ -13,9 +13,9 @@
 	// Ready is set while the instance wants packets.
 	Ready bool
 	// Known is what the platform last told.
-	Known model.Knowledge
+	Known model.Snapshot
 	// Place is the number that the instance was last given.
-	Place model.Place
+	Place model.Ordinal
 	// Age is how long ago the store confirmed it.
 	Age time.Duration
 	// Flows is the number of flows that are remembered.
@@ -66,7 +66,7 @@
 		Version:    uint64(r.Known.Routes.Version),
 		Routes:     len(r.Known.Routes.Routes),
 		Number:     r.Place.Index,
-		NumbersOf:  r.Place.Of,
+		NumbersOf:  r.Place.Count,
 		Unreadable: r.Known.Upstreams.Unreadable,
 		Flows:      r.Flows,
 	}
--- a/internal/oper/status/status.go
+++ b/internal/oper/status/status.go
@@ -80,8 +80,8 @@
 			Running: u.Running,
 			Streams: u.Streams,
 			Cold:    u.Cold,
-			Unsure:  u.Unsure,
-			Closed:  u.Closed,
+			Unsure:  u.StartUnverified,
+			Closed:  u.NoNewWork,
 		})
 	}
 	for _, t := range r.Totals {
--- a/internal/peer/mesh/wire.go
+++ b/internal/peer/mesh/wire.go
@@ -98,7 +98,7 @@
 		Incarnation: m.Incarnation,
 		State:       uint8(m.State),
 		Control:     m.Control,
-		Hand:        m.Hand,
+		Hand:        m.HandOff,
 	}
 }
 
@@ -110,7 +110,7 @@
 		Incarnation: m.Incarnation,
 		State:       model.MemberState(m.State),
 		Control:     m.Control,
-		Hand:        m.Hand,
+		HandOff:     m.Hand,
 	}
 }
 
--- a/internal/peer/share/doubt.go
+++ b/internal/peer/share/doubt.go
@@ -28,7 +28,7 @@
 type Done struct{}
 
 // Tell gives word of doubt to the instance that reads for the failure domain.
-func (s *Share) Tell(ctx context.Context, peer netip.AddrPort, d model.Doubt) (err error) {
+func (s *Share) Tell(ctx context.Context, peer netip.AddrPort, d model.Suspicion) (err error) {
 	defer func() {
 		if err != nil {
 			err = eris.Wrapf(err, "tell %s", peer)
@@ -38,7 +38,7 @@
 }
 
 // Spread passes word of doubt on to those that wait here.
-func (s *Share) Spread(d model.Doubt) {
+func (s *Share) Spread(d model.Suspicion) {
 	if d.Empty() || !s.words.Allow() {
 		return
 	}
@@ -71,7 +71,7 @@
 	return all
 }
 
-func doubtToWire(d model.Doubt) (w DoubtArgs) {
+func doubtToWire(d model.Suspicion) (w DoubtArgs) {
 	for _, id := range d.Upstreams {
 		w.Upstreams = append(w.Upstreams, string(id))
 	}
@@ -81,7 +81,7 @@
 	return w
 }
 
-func doubtFromWire(w DoubtArgs) (d model.Doubt) {
+func doubtFromWire(w DoubtArgs) (d model.Suspicion) {
 	for _, id := range w.Upstreams {
 		d.Upstreams = append(d.Upstreams, model.UpstreamID(id))
 	}
--- a/internal/peer/share/share.go
+++ b/internal/peer/share/share.go
@@ -32,7 +32,7 @@
 // Places numbers the instances that ask; it may be called by several of them at once.
 type Places interface {
 	// Place returns the number of the instance; it is zero for none.
-	Place(id model.InstanceID) model.Place
+	Place(id model.InstanceID) model.Ordinal
 }
 
 // Config is what a Share is built from.
@@ -46,7 +46,7 @@
 	// LinkMbps is the speed of the instance's own link in Mbit/s; zero for unknown.
 	LinkMbps float64
 	// Hear takes what another instance found silent.
-	Hear func(model.Doubt)
+	Hear func(model.Suspicion)
 	// Counts takes the counters.
 	Counts *count.Set
 }
@@ -60,7 +60,7 @@
 
 	mu sync.Mutex
 	// latest, confirmed, unsure and told are guarded by mu.
-	latest model.Knowledge
+	latest model.Snapshot
 	// digest is that of latest.
 	digest uint64
 	// confirmed is when the store confirmed latest.
@@ -72,7 +72,7 @@
 	// told is closed and replaced at each confirmation and each word of doubt.
 	told chan struct{}
 	// doubts holds the last words of doubt, and spread is how many there ever were, plus one; both are guarded by mu.
-	doubts []model.Doubt
+	doubts []model.Suspicion
 	spread uint64
 	// heard is the number of the last word that each peer has told; guarded by mu.
 	heard map[netip.AddrPort]uint64
@@ -103,7 +103,7 @@
 }
 
 // Publish tells those that wait what this instance knows as of now, less its age.
-func (s *Share) Publish(k model.Knowledge) {
+func (s *Share) Publish(k model.Snapshot) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +113,7 @@
 		s.steps = s.steps[max(len(s.steps)-stepsKept, 0):]
 	}
 	s.digest = digest
-	s.latest, s.confirmed, s.unsure = k, now.Add(-k.Age), now.Add(k.Unsure)
+	s.latest, s.confirmed, s.unsure = k, now.Add(-k.Age), now.Add(k.GraceLeft)
 	s.wake()
 }
 
@@ -124,7 +124,7 @@
 }
 
 // Next asks a peer for its next word and returns what is known with it; have is what the caller knows.
-func (s *Share) Next(ctx context.Context, peer netip.AddrPort, have model.Knowledge, wait time.Duration) (k model.Knowledge, err error) {
+func (s *Share) Next(ctx context.Context, peer netip.AddrPort, have model.Snapshot, wait time.Duration) (k model.Snapshot, err error) {
 	defer func() {
 		if err != nil {
 			err = eris.Wrapf(err, "ask %s", peer)
@@ -190,17 +190,17 @@
 	}
 	now := time.Now()
 	k := s.latest
-	k.Age, k.Unsure = now.Sub(s.confirmed), max(s.unsure.Sub(now), 0)
+	k.Age, k.GraceLeft = now.Sub(s.confirmed), max(s.unsure.Sub(now), 0)
 	s.answer(&k, args.Have, reply)
 	reply.Doubts, reply.Spread = s.doubtsSince(args.Heard), s.spread
 	if reply.Revision != 0 {
-		reply.Index, reply.Of = place.Index, place.Of
+		reply.Index, reply.Of = place.Index, place.Count
 	}
 	return nil
 }
 
 // answer fills a reply with what the caller lacks, which is told by the digest of what it has; s.mu is held.
-func (s *Share) answer(k *model.Knowledge, have uint64, reply *NextReply) {
+func (s *Share) answer(k *model.Snapshot, have uint64, reply *NextReply) {
 	missed, ok := s.since(have)
 	switch {
 	case have == s.digest:
--- a/internal/peer/share/share_test.go
+++ b/internal/peer/share/share_test.go
@@ -21,22 +21,22 @@
 	ctx           context.Context
 	reader, asker *share.Share
 	// heard takes what each instance hears of doubt.
-	heard    map[model.InstanceID]chan model.Doubt
+	heard    map[model.InstanceID]chan model.Suspicion
 	at       netip.AddrPort
 	counts   *count.Set
-	believed model.Knowledge
+	believed model.Snapshot
 }
 
 func newPair(t *testing.T) *pair {
 	t.Helper()
-	p := &pair{I: is.New(t), counts: count.New(), heard: map[model.InstanceID]chan model.Doubt{}}
+	p := &pair{I: is.New(t), counts: count.New(), heard: map[model.InstanceID]chan model.Suspicion{}}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	t.Cleanup(cancel)
 	p.ctx = ctx
 	start := func(id model.InstanceID, counts *count.Set) (*share.Share, netip.AddrPort) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		p.NoErr(err)
-		s := share.New(share.Config{Self: id, Listener: l, Places: numbers{"asker": {Index: 2, Of: 5}}, Counts: counts, Hear: p.hear(id)})
+		s := share.New(share.Config{Self: id, Listener: l, Places: numbers{"asker": {Index: 2, Count: 5}}, Counts: counts, Hear: p.hear(id)})
 		go func() { _ = s.Run(ctx) }()
 		return s, netip.MustParseAddrPort(l.Addr().String())
 	}
@@ -46,22 +46,22 @@
 }
 
 // hear returns what an instance does with word of doubt.
-func (p *pair) hear(id model.InstanceID) func(model.Doubt) {
-	heard := make(chan model.Doubt, 100)
+func (p *pair) hear(id model.InstanceID) func(model.Suspicion) {
+	heard := make(chan model.Suspicion, 100)
 	p.heard[id] = heard
-	return func(d model.Doubt) { heard <- d }
+	return func(d model.Suspicion) { heard <- d }
 }
 
 // numbers holds the number of each instance.
-type numbers map[model.InstanceID]model.Place
+type numbers map[model.InstanceID]model.Ordinal
 
 // Place implements share.Places.
-func (n numbers) Place(id model.InstanceID) model.Place {
+func (n numbers) Place(id model.InstanceID) model.Ordinal {
 	return n[id]
 }
 
-func knowledge(rev model.Revision, upstreams, routes int) model.Knowledge {
-	k := model.Knowledge{Revision: rev, Out: []model.DomainID{"east"}}
+func knowledge(rev model.Revision, upstreams, routes int) model.Snapshot {
+	k := model.Snapshot{Revision: rev, Out: []model.DomainID{"east"}}
 	for n := range upstreams {
 		k.Upstreams.Items = append(k.Upstreams.Items, model.Registration{
 			ID: model.UpstreamID(fmt.Sprintf("i-%x", n+1)), Number: model.EndpointNumber(n + 1), Revision: 1, Service: "desk", Domain: "east",
@@ -79,14 +79,14 @@
 }
 
 // tell publishes knowledge and lets the other ask; it returns the bytes that the answer took.
-func (p *pair) tell(k model.Knowledge) int64 {
+func (p *pair) tell(k model.Snapshot) int64 {
 	p.Helper()
 	before := p.sent()
 	p.reader.Publish(k)
 	got, err := p.asker.Next(p.ctx, p.at, p.believed, 0)
 	p.NoErr(err)
-	p.Equal(got.Place, model.Place{Index: 2, Of: 5})
-	got.Age, got.Unsure, got.Place, k.Age, k.Unsure = 0, 0, model.Place{}, 0, 0
+	p.Equal(got.Ordinal, model.Ordinal{Index: 2, Count: 5})
+	got.Age, got.GraceLeft, got.Ordinal, k.Age, k.GraceLeft = 0, 0, model.Ordinal{}, 0, 0
 	p.Equal(got, k)
 	p.believed = got
 	return p.sent() - before
@@ -142,12 +142,12 @@
 // TestBehind checks that a caller that is too far behind, or knows nothing, gets everything.
 func TestBehind(t *testing.T) {
 	p := newPair(t)
-	_, err := p.asker.Next(p.ctx, p.at, model.Knowledge{}, 0)
+	_, err := p.asker.Next(p.ctx, p.at, model.Snapshot{}, 0)
 	p.True(err != nil)
 	for rev := model.Revision(10); rev < 60; rev++ {
 		p.reader.Publish(knowledge(rev, 20, 3))
 	}
-	for _, have := range []model.Knowledge{{}, {Revision: 5}, knowledge(12, 3, 1)} {
+	for _, have := range []model.Snapshot{{}, {Revision: 5}, knowledge(12, 3, 1)} {
 		got, err := p.asker.Next(p.ctx, p.at, have, 0)
 		p.NoErr(err)
 		p.Equal(got.Revision, model.Revision(59))
@@ -164,7 +164,7 @@
 	reader.Routes.Routes = reader.Routes.Routes[1:]
 	p.reader.Publish(reader)
 	next := reader
-	next.Revision, next.OutAt = 283, 283
+	next.Revision, next.OutRevision = 283, 283
 	p.reader.Publish(next)
 	got, err := p.asker.Next(p.ctx, p.at, asker, 0)
 	p.NoErr(err)
@@ -178,7 +178,7 @@
 	k := knowledge(10, 5, 1)
 	p.reader.Publish(k)
 	time.AfterFunc(50*time.Millisecond, func() {
-		k.Age, k.Unsure = 20*time.Millisecond, time.Second
+		k.Age, k.GraceLeft = 20*time.Millisecond, time.Second
 		p.reader.Publish(k)
 	})
 	began := time.Now()
@@ -186,7 +186,7 @@
 	p.NoErr(err)
 	p.True(time.Since(began) < 3*time.Second)
 	p.True(got.Age >= 20*time.Millisecond && got.Age < 3*time.Second)
-	p.True(got.Unsure > 0 && got.Unsure <= time.Second)
+	p.True(got.GraceLeft > 0 && got.GraceLeft <= time.Second)
 }
 
 // TestDoubt checks that what one instance found silent reaches the reader and, at once, those that wait there, once each.
@@ -199,7 +199,7 @@
 		p.NoErr(err)
 	}
 	ask(0)
-	word := model.Doubt{Upstreams: []model.UpstreamID{"a", "b"}, Domains: []model.DomainID{"east"}}
+	word := model.Suspicion{Upstreams: []model.UpstreamID{"a", "b"}, Domains: []model.DomainID{"east"}}
 	time.AfterFunc(50*time.Millisecond, func() { p.NoErr(p.asker.Tell(p.ctx, p.at, word)) })
 	began := time.Now()
 	ask(5 * time.Second)
@@ -209,10 +209,10 @@
 
 	// What comes while nobody waits is told with the next question, which does not wait.
 	for range 3 {
-		p.reader.Spread(model.Doubt{Upstreams: []model.UpstreamID{"c"}})
+		p.reader.Spread(model.Suspicion{Upstreams: []model.UpstreamID{"c"}})
 	}
 	ask(5 * time.Second)
-	p.Equal(<-p.heard["asker"], model.Doubt{Upstreams: []model.UpstreamID{"c", "c", "c"}})
+	p.Equal(<-p.heard["asker"], model.Suspicion{Upstreams: []model.UpstreamID{"c", "c", "c"}})
 	ask(0)
 	p.Equal(len(p.heard["asker"]), 0)
 
--- a/internal/peer/share/step.go
+++ b/internal/peer/share/step.go
@@ -18,7 +18,7 @@
 }
 
 // newStep compares two states of knowledge.
-func newStep(from, to *model.Knowledge) step {
+func newStep(from, to *model.Snapshot) step {
 	s := step{from: from.Digest()}
 	was := make(map[model.UpstreamID]model.Revision, len(from.Upstreams.Items))
 	for i := range from.Upstreams.Items {
@@ -59,17 +59,17 @@
 }
 
 // merge returns what is known after a reply to a caller that knew have.
-func merge(have model.Knowledge, reply *NextReply) (k model.Knowledge, err error) {
+func merge(have model.Snapshot, reply *NextReply) (k model.Snapshot, err error) {
 	told, err := fromWire(reply)
 	if err != nil || reply.Scope == scopeAll {
 		return told, err
 	}
 	k = have
-	k.Age, k.Unsure, k.Place, k.Revision = told.Age, told.Unsure, told.Place, max(have.Revision, told.Revision)
+	k.Age, k.GraceLeft, k.Ordinal, k.Revision = told.Age, told.GraceLeft, told.Ordinal, max(have.Revision, told.Revision)
 	if reply.Scope == scopeNothing {
 		return k, nil
 	}
-	k.Out, k.OutAt = told.Out, told.OutAt
+	k.Out, k.OutRevision = told.Out, told.OutRevision
 	k.Upstreams = model.Listing[model.Registration]{
 		Items:      model.Merge(have.Upstreams.Items, told.Upstreams.Items, reply.GoneUpstreams, model.UpstreamName),
 		Unreadable: told.Upstreams.Unreadable,
--- a/internal/peer/share/wholes.go
+++ b/internal/peer/share/wholes.go
@@ -31,6 +31,6 @@
 }
 
 // wholeSize returns about how many bytes a reply with everything takes, at most as many as may go at once.
-func (s *Share) wholeSize(k *model.Knowledge) int {
+func (s *Share) wholeSize(k *model.Snapshot) int {
 	return min(len(k.Upstreams.Items)*upstreamBytes+len(k.Routes.Routes)*routeBytes, s.wholes.Burst())
 }
--- a/internal/peer/share/wire.go
+++ b/internal/peer/share/wire.go
@@ -100,12 +100,12 @@
 }
 
 // toWire returns a reply; missed is what a reply of changes holds.
-func toWire(k *model.Knowledge, sc scope, missed step) NextReply {
-	out := NextReply{Revision: uint64(k.Revision), Age: int64(k.Age), Unsure: int64(k.Unsure), Scope: sc}
+func toWire(k *model.Snapshot, sc scope, missed step) NextReply {
+	out := NextReply{Revision: uint64(k.Revision), Age: int64(k.Age), Unsure: int64(k.GraceLeft), Scope: sc}
 	if sc == scopeNothing {
 		return out
 	}
-	out.Unreadable, out.ListedAt, out.OutAt = k.Upstreams.Unreadable, uint64(k.Upstreams.Revision), uint64(k.OutAt)
+	out.Unreadable, out.ListedAt, out.OutAt = k.Upstreams.Unreadable, uint64(k.Upstreams.Revision), uint64(k.OutRevision)
 	out.GoneUpstreams, out.GoneRoutes = missed.goneUpstreams, missed.goneRoutes
 	upstreams, routes := wanted(sc, missed.upstreams), wanted(sc, missed.routes)
 	for i := range k.Upstreams.Items {
@@ -165,11 +165,11 @@
 	return out
 }
 
-func fromWire(w *NextReply) (k model.Knowledge, err error) {
-	k = model.Knowledge{
-		Revision: model.Revision(w.Revision), Age: time.Duration(w.Age), Unsure: time.Duration(w.Unsure), Place: model.Place{Index: w.Index, Of: w.Of},
+func fromWire(w *NextReply) (k model.Snapshot, err error) {
+	k = model.Snapshot{
+		Revision: model.Revision(w.Revision), Age: time.Duration(w.Age), GraceLeft: time.Duration(w.Unsure), Ordinal: model.Ordinal{Index: w.Index, Count: w.Of},
 	}
-	k.OutAt = model.Revision(w.OutAt)
+	k.OutRevision = model.Revision(w.OutAt)
 	k.Upstreams = model.Listing[model.Registration]{Unreadable: w.Unreadable, Revision: model.Revision(w.ListedAt)}
 	for _, u := range w.Upstreams {
 		address, err := netip.ParseAddrPort(u.Address)
--- a/internal/run/entry/act.go
+++ b/internal/run/entry/act.go
@@ -21,17 +21,17 @@
 	switch a.Verb {
 	case model.VerbForward:
 		return e.wrap(e.back, a.Address, callerFrame(a.Packet))
-	case model.VerbHand:
+	case model.VerbHandOff:
 		f := callerFrame(a.Packet)
-		f.Hops, f.Toward = a.Packet.Hops+1, a.Packet.Toward
+		f.Hops, f.Toward = a.Packet.Hops+1, a.Packet.Upstream
 		return e.wrap(e.hand, e.hands[a.Peer], f)
-	case model.VerbHandAnswer:
+	case model.VerbHandOffAnswer:
 		f := answerFrame(a.Answer.Flow, a.Answer.Raw)
 		f.From, f.Boot = a.Answer.From, a.Answer.Boot
 		return e.wrap(e.hand, e.hands[a.Peer], f)
 	case model.VerbDeliver:
 		return e.deliver(a)
-	case model.VerbChallenge, model.VerbRefuse, model.VerbUnknown:
+	case model.VerbChallenge, model.VerbRefuse, model.VerbOutcomeUnknown:
 		return e.reply(a)
 	default:
 		return datagram{}, nil
--- a/internal/run/entry/entry.go
+++ b/internal/run/entry/entry.go
@@ -102,7 +102,7 @@
 		Boot:    model.BootID(e.start.UnixNano()),
 		State:   model.MemberAlive,
 		Control: cfg.Advertise,
-		Hand:    cfg.AdvertiseHand,
+		HandOff: cfg.AdvertiseHand,
 	}
 	seed := cfg.Seed
 	if seed == 0 {
--- a/internal/run/entry/peers.go
+++ b/internal/run/entry/peers.go
@@ -29,7 +29,7 @@
 	e.do(func(now model.Instant) {
 		clear(e.hands)
 		for _, m := range members {
-			e.hands[m.ID] = m.Hand
+			e.hands[m.ID] = m.HandOff
 		}
 		e.engine.SetMembers(now, members, adopted)
 	})
--- a/internal/run/entry/sockets.go
+++ b/internal/run/entry/sockets.go
@@ -71,7 +71,7 @@
 		e.tally.drop(model.ReasonMalformed)
 		return
 	}
-	p.Hops, p.Toward = f.Hops, f.Toward
+	p.Hops, p.Upstream = f.Hops, f.Toward
 	if !e.packets.Offer(p) {
 		e.tally.drop(model.ReasonRingFull)
 	}
@@ -92,7 +92,7 @@
 		e.tally.drop(model.ReasonMalformed)
 		return
 	}
-	a.From, a.Boot, a.Home = from, f.Boot, home
+	a.From, a.Boot, a.HandedOff = from, f.Boot, home
 	if !e.answers.Offer(a) {
 		e.tally.drop(model.ReasonRingFull)
 	}
--- a/internal/run/entry/tally.go
+++ b/internal/run/entry/tally.go
@@ -9,14 +9,14 @@
 
 // verbNames begin the names of the counters of actions.
 var verbNames = map[model.Verb]string{
-	model.VerbForward:    "forward",
-	model.VerbHand:       "hand",
-	model.VerbHandAnswer: "hand_answer",
-	model.VerbDeliver:    "deliver",
-	model.VerbChallenge:  "challenge",
-	model.VerbRefuse:     "refuse",
-	model.VerbUnknown:    "unknown",
-	model.VerbDrop:       "note",
+	model.VerbForward:        "forward",
+	model.VerbHandOff:        "hand",
+	model.VerbHandOffAnswer:  "hand_answer",
+	model.VerbDeliver:        "deliver",
+	model.VerbChallenge:      "challenge",
+	model.VerbRefuse:         "refuse",
+	model.VerbOutcomeUnknown: "unknown",
+	model.VerbDrop:           "note",
 }
 
 // tallies holds a counter for each verb and reason.
--- a/internal/run/relay/decide.go
+++ b/internal/run/relay/decide.go
@@ -87,7 +87,7 @@
 		r.stalled.Store(int64(now))
 	}
 	if late > share.CallMargin {
-		r.engine.SetPlace(model.Place{}, 0)
+		r.engine.SetPlace(model.Ordinal{}, 0)
 	}
 }
 
--- a/internal/run/relay/doubt.go
+++ b/internal/run/relay/doubt.go
@@ -34,7 +34,7 @@
 }
 
 // hearDoubt takes what another instance found silent.
-func (r *Relay) hearDoubt(d model.Doubt) {
+func (r *Relay) hearDoubt(d model.Suspicion) {
 	r.counts.Counter("share.doubts_heard").Inc(1)
 	ctx := r.work
 	r.do(ctx, func(now model.Instant) { r.act(ctx, now, r.engine.HearDoubt(now, d)) })
--- a/internal/run/relay/follow.go
+++ b/internal/run/relay/follow.go
@@ -92,10 +92,10 @@
 	}
 	f.noteStore(err)
 	if err != nil {
-		f.keeper.StoreRead(now, start, model.Seat{}, false)
+		f.keeper.StoreRead(now, start, model.ReaderRecord{}, false)
 		return
 	}
-	next.Age, next.Unsure = now.Sub(start), 0
+	next.Age, next.GraceLeft = now.Sub(start), 0
 	f.learn(ctx, next)
 	f.keeper.StoreRead(now, start, f.ownSeat(seats), true)
 	f.places.confirm(now, start, f.keeper.Reading())
@@ -105,7 +105,7 @@
 }
 
 // take lets the engine use the instance's number until it may belong to another.
-func (f *follower) take(ctx context.Context, p model.Place) {
+func (f *follower) take(ctx context.Context, p model.Ordinal) {
 	until := f.now().Add(f.places.life())
 	f.place.Store(&p)
 	f.do(ctx, func(model.Instant) { f.engine.SetPlace(p, until) })
@@ -140,13 +140,13 @@
 }
 
 // ownSeat returns the seat of the instance's failure domain.
-func (r *Relay) ownSeat(seats []model.Seat) model.Seat {
+func (r *Relay) ownSeat(seats []model.ReaderRecord) model.ReaderRecord {
 	for _, s := range seats {
 		if s.Domain == r.cfg.Domain {
 			return s
 		}
 	}
-	return model.Seat{Domain: r.cfg.Domain}
+	return model.ReaderRecord{Domain: r.cfg.Domain}
 }
 
 // askReader waits for the next word of the instance that reads for the failure domain.
@@ -162,12 +162,12 @@
 	}
 	f.keeper.ReaderTold(f.now(), k.Age, err == nil)
 	if err == nil {
-		f.take(ctx, k.Place)
+		f.take(ctx, k.Ordinal)
 	}
 }
 
 // ask takes over what another instance knows if it is newer.
-func (r *Relay) ask(ctx context.Context, peer netip.AddrPort, wait time.Duration) (model.Knowledge, error) {
+func (r *Relay) ask(ctx context.Context, peer netip.AddrPort, wait time.Duration) (model.Snapshot, error) {
 	k, err := r.share.Next(ctx, peer, r.knowledge(), wait)
 	if err != nil {
 		return k, err
@@ -214,22 +214,22 @@
 	return nil
 }
 
-func (r *Relay) knowledge() model.Knowledge {
+func (r *Relay) knowledge() model.Snapshot {
 	r.knownMu.Lock()
 	defer r.knownMu.Unlock()
 	return r.known
 }
 
 // learn puts knowledge in force unless newer is, and tells those that ask here.
-func (r *Relay) learn(ctx context.Context, k model.Knowledge) {
+func (r *Relay) learn(ctx context.Context, k model.Snapshot) {
 	r.knownMu.Lock()
 	defer r.knownMu.Unlock()
 	if k.Revision < r.known.Revision {
 		return
 	}
-	k = k.NotBefore(r.known)
+	k = k.KeepNewer(r.known)
 	arrived := r.now()
-	k.Unsure = r.trust.Confirm(arrived, arrived.Add(-k.Age), k.Unsure)
+	k.GraceLeft = r.trust.Confirm(arrived, arrived.Add(-k.Age), k.GraceLeft)
 	newer := k.Digest() != r.known.Digest()
 	first := r.known.Revision == 0
 	r.known = k
@@ -237,7 +237,7 @@
 	r.confirmed.Store(int64(arrived.Add(-k.Age)))
 	r.share.Publish(k)
 	r.do(ctx, func(now model.Instant) {
-		r.engine.Roster().Distrust(now.Add(k.Unsure))
+		r.engine.Roster().ExtendGrace(now.Add(k.GraceLeft))
 		if newer {
 			r.install(now, &k)
 		}
@@ -260,7 +260,7 @@
 }
 
 // install is called by the decide duty.
-func (r *Relay) install(now model.Instant, k *model.Knowledge) {
+func (r *Relay) install(now model.Instant, k *model.Snapshot) {
 	r.engine.Roster().SetOut(now, k.Out)
 	r.engine.Roster().Sync(now, k.Upstreams)
 	if r.engine.SetRoutes(k.Routes) {
--- a/internal/run/relay/limits.go
+++ b/internal/run/relay/limits.go
@@ -59,5 +59,5 @@
 	f.trust.SetBound(l.ChangeBy)
 	f.knownMu.Unlock()
 	f.places.reset(f.keeper)
-	f.take(ctx, model.Place{})
+	f.take(ctx, model.Ordinal{})
 }
--- a/internal/run/relay/places.go
+++ b/internal/run/relay/places.go
@@ -16,7 +16,7 @@
 
 	mu sync.Mutex
 	// All below is guarded by mu.
-	book *allot.Book
+	book *allot.Allocator
 	// believed is how long an instance believes in its number after it was told.
 	believed time.Duration
 }
@@ -35,7 +35,7 @@
 	p.believed = k.ReaderWait()
 	// A reply may be on its way for as long as a call may take.
 	kept := p.believed + k.ReaderWait() + share.CallMargin
-	p.book = allot.NewBook(allot.BookConfig{Life: kept, Trust: k.MaxAge()})
+	p.book = allot.NewAllocator(allot.AllocatorConfig{OrdinalTTL: kept, ConfirmationTTL: k.MaxAge()})
 }
 
 // life returns how long an instance believes in its number after it was told.
@@ -53,8 +53,8 @@
 }
 
 // Place implements share.Places.
-func (p *places) Place(id model.InstanceID) model.Place {
+func (p *places) Place(id model.InstanceID) model.Ordinal {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.book.Place(p.now(), id)
+	return p.book.Assign(p.now(), id)
 }
--- a/internal/run/relay/probe.go
+++ b/internal/run/relay/probe.go
@@ -26,7 +26,7 @@
 		case errors.Is(err, syscall.ECONNREFUSED):
 			outcome = health.OutcomeFailed
 		case model.Instant(r.stalled.Load()) >= start || r.now().Sub(start) > wait+stallLimit:
-			outcome = health.OutcomeUnknown
+			outcome = health.OutcomeInconclusive
 		default:
 			outcome = health.OutcomeFailed
 		}
--- a/internal/run/relay/read.go
+++ b/internal/run/relay/read.go
@@ -18,12 +18,12 @@
 )
 
 // readKnowledge returns what the store holds now.
-func (r *Relay) readKnowledge(ctx context.Context) (k model.Knowledge, seats []model.Seat, err error) {
+func (r *Relay) readKnowledge(ctx context.Context) (k model.Snapshot, seats []model.ReaderRecord, err error) {
 	have := r.knowledge()
 	if have.Revision == 0 {
 		// Nothing is known yet: all kinds are read at once, to serve soon.
 		g, work := errgroup.WithContext(ctx)
-		var list model.Listing[model.Seat]
+		var list model.Listing[model.ReaderRecord]
 		g.Go(func() (err error) {
 			list, err = counted(r, r.cfg.Seats.Read)(work)
 			return err
@@ -55,7 +55,7 @@
 
 // catchUp reads only what has changed since what is known. The store may say nothing of changes for a while, or have
 // forgotten them; ok is false then, and everything has to be read.
-func (r *Relay) catchUp(ctx context.Context, have model.Knowledge, seats *model.Listing[model.Seat]) (k model.Knowledge, ok bool) {
+func (r *Relay) catchUp(ctx context.Context, have model.Snapshot, seats *model.Listing[model.ReaderRecord]) (k model.Snapshot, ok bool) {
 	var upstreams model.Changes[model.Registration]
 	var routes model.Changes[model.RouteTable]
 	var out model.Changes[model.DomainID]
@@ -75,7 +75,7 @@
 	}
 	k = have
 	k.Upstreams = have.Upstreams.Apply(upstreams, model.UpstreamName)
-	k.Out, k.OutAt = model.Merge(have.Out, out.Items, out.Gone, model.DomainName), max(have.OutAt, out.Revision)
+	k.Out, k.OutRevision = model.Merge(have.Out, out.Items, out.Deleted, model.DomainName), max(have.OutRevision, out.Revision)
 	r.noteUnreadable(len(upstreams.Unreadable), routes.Unreadable)
 	if len(routes.Items) > 0 {
 		k.Routes = routes.Items[0]
@@ -101,7 +101,7 @@
 
 // readParts reads upstreams, routes and failure domains at once; the revision is that up to which all are complete. The instance may
 // serve as soon as the opening has enough of them.
-func (r *Relay) readParts(ctx context.Context, o *opening) (k model.Knowledge, err error) {
+func (r *Relay) readParts(ctx context.Context, o *opening) (k model.Snapshot, err error) {
 	k.Routes = r.knowledge().Routes
 	var routesAt model.Revision
 	g, ctx := errgroup.WithContext(ctx)
@@ -128,14 +128,14 @@
 	})
 	g.Go(func() error {
 		list, err := counted(r, r.cfg.DomainsOut.Read)(ctx)
-		k.Out, k.OutAt = list.Items, list.Revision
+		k.Out, k.OutRevision = list.Items, list.Revision
 		if err == nil {
 			o.domainsOut(list.Items)
 		}
 		return err
 	})
 	err = g.Wait()
-	k.Revision = min(k.Upstreams.Revision, routesAt, k.OutAt)
+	k.Revision = min(k.Upstreams.Revision, routesAt, k.OutRevision)
 	return k, err
 }
 
--- a/internal/run/relay/read_test.go
+++ b/internal/run/relay/read_test.go
@@ -38,11 +38,11 @@
 
 // seats is a source of seats that nobody claims.
 type seats struct {
-	listed[model.Seat]
+	listed[model.ReaderRecord]
 }
 
 // Claim implements Seats.
-func (seats) Claim(_ context.Context, seat model.Seat) (model.Seat, error) {
+func (seats) Claim(_ context.Context, seat model.ReaderRecord) (model.ReaderRecord, error) {
 	return seat, nil
 }
 
@@ -53,33 +53,33 @@
 	later := model.RouteTable{Version: 5, Revision: 192}
 	cases := map[string]struct {
 		cfg  Config
-		have model.Knowledge
+		have model.Snapshot
 		want model.Revision
 		// version is that of the configuration then.
 		version model.Version
 	}{
 		"the first read, a configuration older than all else": {
 			cfg: Config{
-				Seats: seats{listed[model.Seat]{at: 193}}, Upstreams: listed[model.Registration]{at: 194},
+				Seats: seats{listed[model.ReaderRecord]{at: 193}}, Upstreams: listed[model.Registration]{at: 194},
 				Routes: listed[model.RouteTable]{at: 190, items: []model.RouteTable{table}}, DomainsOut: listed[model.DomainID]{at: 194},
 			},
 			want: 190, version: 3,
 		},
 		"changes that lead there": {
 			cfg: Config{
-				Seats: seats{listed[model.Seat]{at: 192}}, Upstreams: listed[model.Registration]{since: model.Changes[model.Registration]{Revision: 192}},
+				Seats: seats{listed[model.ReaderRecord]{at: 192}}, Upstreams: listed[model.Registration]{since: model.Changes[model.Registration]{Revision: 192}},
 				Routes:     listed[model.RouteTable]{since: model.Changes[model.RouteTable]{Items: []model.RouteTable{later}, Newest: 192, Revision: 192}},
 				DomainsOut: listed[model.DomainID]{since: model.Changes[model.DomainID]{Revision: 192}},
 			},
-			have: model.Knowledge{Revision: 181, Routes: table}, want: 192, version: 5,
+			have: model.Snapshot{Revision: 181, Routes: table}, want: 192, version: 5,
 		},
 		"changes that leave something unexplained": {
 			cfg: Config{
-				Seats: seats{listed[model.Seat]{at: 192}}, Upstreams: listed[model.Registration]{at: 193, since: model.Changes[model.Registration]{Revision: 192}},
+				Seats: seats{listed[model.ReaderRecord]{at: 192}}, Upstreams: listed[model.Registration]{at: 193, since: model.Changes[model.Registration]{Revision: 192}},
 				Routes:     listed[model.RouteTable]{at: 193, items: []model.RouteTable{later}, since: model.Changes[model.RouteTable]{Revision: 192}},
 				DomainsOut: listed[model.DomainID]{at: 193, since: model.Changes[model.DomainID]{Revision: 192}},
 			},
-			have: model.Knowledge{Revision: 181, Routes: table}, want: 192, version: 5,
+			have: model.Snapshot{Revision: 181, Routes: table}, want: 192, version: 5,
 		},
 	}
 	for name, tc := range cases {
--- a/internal/run/relay/record.go
+++ b/internal/run/relay/record.go
@@ -77,7 +77,7 @@
 	}
 	if u := a.Upstream; u != nil {
 		addUpstream(fields, u)
-		fields["misses"], fields["silentMs"] = u.Health.Misses(), u.Health.Silent(now).Milliseconds()
+		fields["misses"], fields["silentMs"] = u.Health.Timeouts(), u.Health.UnansweredFor(now).Milliseconds()
 		fields["running"], fields["answerMs"] = u.Load.Running, u.Load.AnswerTime().Milliseconds()
 	}
 	r.recorder.log.WithAll(fields).Info(sentences[kind])
@@ -116,7 +116,7 @@
 		}
 		switch n.Kind {
 		case direct.NoteBarred:
-			withUpstream(log, n.Upstream).With("misses", n.Upstream.Health.Misses()).Warn("An upstream does not answer; new flows go elsewhere.")
+			withUpstream(log, n.Upstream).With("misses", n.Upstream.Health.Timeouts()).Warn("An upstream does not answer; new flows go elsewhere.")
 		case direct.NoteReachable:
 			withUpstream(log, n.Upstream).With("silentMs", n.Silent.Milliseconds()).Info("An upstream answers again.")
 		case direct.NoteDomainCut:
@@ -125,7 +125,7 @@
 			log.With("domain", n.Domain).Info("A failure domain answers again.")
 		}
 	}
-	for _, n := range r.engine.Roster().Notes() {
+	for _, n := range r.engine.Roster().TakeStateChanges() {
 		if !r.recorder.beliefs.Admit(time.Duration(now), "upstream_"+n.State.String()) {
 			continue
 		}
@@ -154,7 +154,7 @@
 	barred := 0
 	for _, u := range r.engine.Roster().All() {
 		states[u.State]++
-		if u.Health.Barred() {
+		if u.Health.Ejected() {
 			barred++
 		}
 	}
--- a/internal/run/relay/relay.go
+++ b/internal/run/relay/relay.go
@@ -47,9 +47,9 @@
 // Seats keeps who reads the platform's store for each failure domain.
 type Seats interface {
 	// Read returns every seat.
-	Read(ctx context.Context) (model.Listing[model.Seat], error)
+	Read(ctx context.Context) (model.Listing[model.ReaderRecord], error)
 	// Claim takes a seat that is still at its revision; it returns the seat as it is now, whoever holds it.
-	Claim(ctx context.Context, seat model.Seat) (model.Seat, error)
+	Claim(ctx context.Context, seat model.ReaderRecord) (model.ReaderRecord, error)
 }
 
 // Codec translates between datagrams and segments.
@@ -106,7 +106,7 @@
 	share  *share.Share
 	// known is what the platform last told and trust what that proves; both are guarded by knownMu.
 	knownMu sync.Mutex
-	known   model.Knowledge
+	known   model.Snapshot
 	trust   *fresh.Trust
 	// keeper is used by the follow duty only.
 	keeper *fresh.Keeper
@@ -114,7 +114,7 @@
 	limits, changed atomic.Pointer[Limits]
 	places          *places
 	// place is the number that the instance was last given, for the report.
-	place atomic.Pointer[model.Place]
+	place atomic.Pointer[model.Ordinal]
 
 	packets *net.UDPConn
 	ready   net.Listener
@@ -126,9 +126,9 @@
 	// work ends when the instance does; it is set once, before any duty begins.
 	work context.Context
 	// doubts holds what others should hear of.
-	doubts *ring.Ring[model.Doubt]
+	doubts *ring.Ring[model.Suspicion]
 	// seat is who reads for the failure domain as last known.
-	seat atomic.Pointer[model.Seat]
+	seat atomic.Pointer[model.ReaderRecord]
 	// nudge asks for an early read of the platform.
 	nudge chan struct{}
 
@@ -172,16 +172,16 @@
 		log:      log,
 		counts:   count.New(),
 		start:    start,
-		trust:    fresh.NewTrust(cfg.ChangeBy, roster.LapseGrace),
+		trust:    fresh.NewTrust(cfg.ChangeBy, roster.OutageGrace),
 		keeper:   fresh.NewKeeper(fresh.KeeperConfig{Self: cfg.Instance, Bound: cfg.ChangeBy, Link: cfg.LinkMbps}),
 		arrived:  ring.New[model.Segment](packetRing),
 		commands: ring.New[command](commandRing),
-		doubts:   ring.New[model.Doubt](doubtRing),
+		doubts:   ring.New[model.Suspicion](doubtRing),
 		nudge:    make(chan struct{}, 1),
 		stall:    newStall(bootClock),
 	}
 	r.limits.Store(&cfg.Limits)
-	r.place.Store(&model.Place{})
+	r.place.Store(&model.Ordinal{})
 	r.tally = newTallies(r.counts)
 	r.handshakes, r.answers = r.counts.Latency("handshake"), r.counts.Latency("answer")
 	r.recorder = recorder{log: r.part("flow"), budget: logs.Budget{Limit: decisionLines}, beliefs: logs.Budget{Limit: beliefLines}}
--- a/internal/wire/coap/coap.go
+++ b/internal/wire/coap/coap.go
@@ -56,7 +56,7 @@
 	}
 	p.Binding, _ = m.Options.GetBytes(message.Echo)
 	p.Digest = digest(m)
-	p.Class, p.Part = classify(m)
+	p.Class, p.Block = classify(m)
 	return p, nil
 }
 
@@ -85,7 +85,7 @@
 	case transfer || m.Options.HasOption(message.Observe):
 		return model.ClassSticky, part
 	default:
-		return model.ClassAny, 0
+		return model.ClassIdempotent, 0
 	}
 }
 
@@ -133,7 +133,7 @@
 	case m.Code == codes.ServiceUnavailable:
 		return model.OutcomeNotRun
 	case m.Options.HasOption(message.Observe):
-		return model.OutcomeNotice
+		return model.OutcomeNotification
 	default:
 		return model.OutcomeDone
 	}
--- a/internal/wire/coap/coap_test.go
+++ b/internal/wire/coap/coap_test.go
@@ -38,8 +38,8 @@
 		class   model.Class
 		part    uint32
 	}{
-		"read":              {message: request(codes.GET), class: model.ClassAny},
-		"replace":           {message: request(codes.PUT), class: model.ClassAny},
+		"read":              {message: request(codes.GET), class: model.ClassIdempotent},
+		"replace":           {message: request(codes.PUT), class: model.ClassIdempotent},
 		"booking":           {message: request(codes.POST), class: model.ClassOnce},
 		"stream":            {message: request(codes.GET, observe), class: model.ClassSticky},
 		"photograph":        {message: request(codes.PUT, block), class: model.ClassSticky, part: 1},
@@ -53,7 +53,7 @@
 			p, err := coap.Packet(flow, encode(t, tc.message))
 			is.NoErr(err)
 			is.Equal(p.Class, tc.class)
-			is.Equal(p.Part, tc.part)
+			is.Equal(p.Block, tc.part)
 		})
 	}
 }
@@ -82,7 +82,7 @@
 	}{
 		"done":          {message: request(codes.Changed), want: model.OutcomeDone},
 		"shed":          {message: request(codes.ServiceUnavailable), want: model.OutcomeNotRun},
-		"notification":  {message: request(codes.Content, message.Option{ID: message.Observe}), want: model.OutcomeNotice},
+		"notification":  {message: request(codes.Content, message.Option{ID: message.Observe}), want: model.OutcomeNotification},
 		"empty message": {message: message.Message{Code: codes.Empty, Type: message.Acknowledgement, MessageID: 7}, want: model.OutcomeControl},
 	}
 	for name, tc := range cases {
@@ -110,7 +110,7 @@
 	age, err := m.Options.GetUint32(message.MaxAge)
 	is.NoErr(err)
 	is.Equal(age, uint32(2))
-	p.Class = model.ClassAny
+	p.Class = model.ClassIdempotent
 	raw, err = coap.Refuse(&p, model.ReasonQueueFull, time.Second)
 	is.NoErr(err)
 	_, err = coder.DefaultCoder.Decode(raw, &m)
--- a/internal/wire/dgram/dgram.go
+++ b/internal/wire/dgram/dgram.go
@@ -10,5 +10,5 @@
 
 // Answer returns what the decision packages must know of an upstream's datagram.
 func Answer(flow model.FlowKey, raw []byte) model.Answer {
-	return model.Answer{Flow: flow, Outcome: model.OutcomeNotice, Raw: raw}
+	return model.Answer{Flow: flow, Outcome: model.OutcomeNotification, Raw: raw}
 }
