--- a/internal/conf/setup/setup.go
+++ b/internal/conf/setup/setup.go
@@ -125,7 +125,7 @@
 
 func readPolicy(f reader.Field, name *string) {
 	reader.Text(name)(f)
-	if _, ok := engine.PolicyOf(*name); !ok {
+	if _, ok := engine.PolicyByName(*name); !ok {
 		f.Fault("must be \"utilisation\", \"completion\", \"random\" or \"roundRobin\"")
 	}
 }
--- a/internal/core/engine/copies.go
+++ b/internal/core/engine/copies.go
@@ -4,8 +4,8 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// FlowCopy tells one peer where one flow sits.
-type FlowCopy struct {
+// FlowAssignment tells one peer where one flow sits.
+type FlowAssignment struct {
 	Peer     model.InstanceID
 	Flow     model.FlowKey
 	Upstream model.UpstreamID
@@ -16,7 +16,7 @@
 	first, second := e.homePair(key)
 	for _, peer := range []model.InstanceID{first, second} {
 		if peer != "" && peer != e.cfg.Self.ID {
-			e.flows.copies.Push(FlowCopy{Peer: peer, Flow: key, Upstream: up.cfg.ID})
+			e.flows.copies.Push(FlowAssignment{Peer: peer, Flow: key, Upstream: up.cfg.ID})
 		}
 	}
 }
@@ -41,17 +41,17 @@
 	return len(order) == 0 || order[0] != f.up
 }
 
-// Copies returns at most n pieces of word for peers and forgets them.
-func (e *Engine) Copies(n int) []FlowCopy {
-	var out []FlowCopy
+// TakeAssignments returns at most n pieces of word for peers and forgets them.
+func (e *Engine) TakeAssignments(n int) []FlowAssignment {
+	var out []FlowAssignment
 	for len(out) < n && e.flows.copies.Len() > 0 {
 		out = append(out, e.flows.copies.Pop())
 	}
 	return out
 }
 
-// Recopy queues word again that did not reach its peer.
-func (e *Engine) Recopy(copies []FlowCopy) {
+// RequeueAssignments queues word again that did not reach its peer.
+func (e *Engine) RequeueAssignments(copies []FlowAssignment) {
 	for _, c := range copies {
 		if up := e.upstreams[c.Upstream]; up != nil {
 			e.copyFlow(c.Flow, up)
@@ -59,8 +59,8 @@
 	}
 }
 
-// Learn takes a peer's word of where flows sit; what is known here already stays.
-func (e *Engine) Learn(now model.Instant, copies []FlowCopy) {
+// AddAssignments takes a peer's word of where flows sit; what is known here already stays.
+func (e *Engine) AddAssignments(now model.Instant, copies []FlowAssignment) {
 	for _, c := range copies {
 		up := e.upstreams[c.Upstream]
 		if up != nil && !e.flows.told.Put(now, c.Flow, up) {
--- a/internal/core/engine/engine.go
+++ b/internal/core/engine/engine.go
@@ -98,7 +98,7 @@
 		flows:     newFlowTable(cfg.StreamLimit),
 	}
 	if e.policy == nil {
-		e.policy, _ = PolicyOf(DefaultPolicy)
+		e.policy, _ = PolicyByName(DefaultPolicy)
 	}
 	e.members = []model.Member{cfg.Self}
 	e.indexMembers()
@@ -132,8 +132,8 @@
 	e.copyFlows(now)
 }
 
-// Meet notes that this instance has asked every instance that the platform lists.
-func (e *Engine) Meet() {
+// SetPeersContacted notes that this instance has asked every instance that the platform lists.
+func (e *Engine) SetPeersContacted() {
 	e.met = true
 }
 
--- a/internal/core/engine/flow.go
+++ b/internal/core/engine/flow.go
@@ -34,7 +34,7 @@
 	// told holds what peers said of flows that this instance is or may become the home of.
 	told *recent.Table[model.FlowKey, *upstream]
 	// copies holds the flows that sit elsewhere than at their default and are yet to be told to peers.
-	copies queue.Queue[FlowCopy]
+	copies queue.Queue[FlowAssignment]
 }
 
 func newFlowTable(limit int) flowTable {
--- a/internal/core/engine/flow_test.go
+++ b/internal/core/engine/flow_test.go
@@ -53,7 +53,7 @@
 // meet lets the instance know every other.
 func (j *joiner) meet() {
 	j.e.SetMembers(j.now, j.all, nil)
-	j.e.Meet()
+	j.e.SetPeersContacted()
 }
 
 // wait lets time pass in small steps, so that the instance was never paused.
@@ -144,7 +144,7 @@
 			got = append(got, j.asked(f)...)
 			if tc.told {
 				j.wait(100 * time.Millisecond)
-				got = append(got, j.e.Hear(j.now, engine.Letter{Sightings: []engine.Sighting{{Upstream: tc.up, Boot: 7, BootAge: time.Hour, HeardAge: step}}})...)
+				got = append(got, j.e.ApplyPeerUpdate(j.now, engine.PeerUpdate{Observations: []engine.Observation{{Upstream: tc.up, Boot: 7, BootAge: time.Hour, ConfirmedAge: step}}})...)
 				got = append(got, j.asked(f)...)
 			} else {
 				got = append(got, j.wait(flowCold)...)
@@ -200,17 +200,17 @@
 			}
 			j.wait(flowCold)
 			for _, u := range j.doc.Services[0].Upstreams {
-				j.e.Hear(j.now, engine.Letter{Sightings: []engine.Sighting{{Upstream: u.ID, Boot: 7, BootAge: time.Hour}}})
+				j.e.ApplyPeerUpdate(j.now, engine.PeerUpdate{Observations: []engine.Observation{{Upstream: u.ID, Boot: 7, BootAge: time.Hour}}})
 			}
-			j.e.Letters(j.now)
+			j.e.PeerUpdates(j.now)
 			tc.change(j)
-			j.True(j.e.Urgent())
+			j.True(j.e.TakeUrgent())
 			heard := false
-			for _, l := range j.e.Letters(j.now) {
-				for _, s := range l.Sightings {
+			for _, l := range j.e.PeerUpdates(j.now) {
+				for _, s := range l.Observations {
 					if j.prober(s.Upstream) == j.self.ID {
 						heard = true
-						j.True(!s.Guessed)
+						j.True(!s.BootTimeInferred)
 					}
 				}
 			}
--- a/internal/core/engine/load.go
+++ b/internal/core/engine/load.go
@@ -7,8 +7,8 @@
 // Load is how busy one instance's slots of one service are.
 type Load struct {
 	Service model.ServiceID
-	// Busy is the share of the owned slots that was lately in use; what waits counts too.
-	Busy float64
+	// Utilisation is the share of the owned slots that was lately in use; what waits counts too.
+	Utilisation float64
 }
 
 type loadKey struct {
@@ -21,16 +21,16 @@
 	var out []Load
 	for _, s := range e.services {
 		if s.mine > 0 {
-			out = append(out, Load{Service: s.cfg.ID, Busy: s.busy.read(now)})
+			out = append(out, Load{Service: s.cfg.ID, Utilisation: s.busy.read(now)})
 		}
 	}
 	return out
 }
 
-// HearLoads takes what a peer says of how busy it is.
-func (e *Engine) HearLoads(from model.InstanceID, loads []Load) {
+// SetPeerLoads takes what a peer says of how busy it is.
+func (e *Engine) SetPeerLoads(from model.InstanceID, loads []Load) {
 	for _, l := range loads {
-		e.loads[loadKey{peer: from, service: l.Service}] = l.Busy
+		e.loads[loadKey{peer: from, service: l.Service}] = l.Utilisation
 	}
 }
 
--- a/internal/core/engine/once.go
+++ b/internal/core/engine/once.go
@@ -70,7 +70,7 @@
 
 // runOnce forwards a bound request unless any copy of it was seen before.
 func (e *Engine) runOnce(now model.Instant, s *service, p *model.Packet, b bind.Binding) {
-	key := once.Key{Serial: b.Serial, Part: p.Block}
+	key := once.Key{Serial: b.Serial, Block: p.Block}
 	if entry := e.ledger.Find(key); entry != nil {
 		e.repeatOnce(now, s, p, entry)
 		return
--- a/internal/core/engine/policy.go
+++ b/internal/core/engine/policy.go
@@ -17,8 +17,8 @@
 	"roundRobin":  func() choose.Policy[Candidate] { return &roundRobin{} },
 }
 
-// PolicyOf returns the named policy; ok is false for an unknown name.
-func PolicyOf(name string) (policy choose.Policy[Candidate], ok bool) {
+// PolicyByName returns the named policy; ok is false for an unknown name.
+func PolicyByName(name string) (policy choose.Policy[Candidate], ok bool) {
 	build, ok := policies[name]
 	if !ok {
 		return nil, false
--- a/internal/core/engine/sight.go
+++ b/internal/core/engine/sight.go
@@ -7,37 +7,37 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// Sighting is what one instance tells another of an upstream.
-type Sighting struct {
+// Observation is what one instance tells another of an upstream.
+type Observation struct {
 	Upstream model.UpstreamID
 	Boot     model.BootID
 	// BootAge is how long ago the boot was first heard of.
 	BootAge time.Duration
-	// Guessed is set if the upstream may have started long before that.
-	Guessed bool
-	// HeardAge is how long ago an answer proved the boot.
-	HeardAge time.Duration
+	// BootTimeInferred is set if the upstream may have started long before that.
+	BootTimeInferred bool
+	// ConfirmedAge is how long ago an answer proved the boot.
+	ConfirmedAge time.Duration
 	// Health is what the sender was last told by the upstream's endpoint.
 	Health Health
 }
 
-// Letter is what one instance tells one peer.
-type Letter struct {
-	Peer      model.InstanceID
-	Sightings []Sighting
+// PeerUpdate is what one instance tells one peer.
+type PeerUpdate struct {
+	Peer         model.InstanceID
+	Observations []Observation
 }
 
-// Urgent reports, once, that peers should hear at once of a restarted upstream.
-func (e *Engine) Urgent() bool {
+// TakeUrgent reports, once, that peers should hear at once of a restarted upstream.
+func (e *Engine) TakeUrgent() bool {
 	urgent := e.urgent
 	e.urgent = false
 	return urgent
 }
 
-// Letters returns what peers should hear: the prober of an upstream tells its co-owners, and whoever notices a restart tells all owners.
-func (e *Engine) Letters(now model.Instant) []Letter {
-	byPeer := map[model.InstanceID]*Letter{}
-	var order []*Letter
+// PeerUpdates returns what peers should hear: the prober of an upstream tells its co-owners, and whoever notices a restart tells all owners.
+func (e *Engine) PeerUpdates(now model.Instant) []PeerUpdate {
+	byPeer := map[model.InstanceID]*PeerUpdate{}
+	var order []*PeerUpdate
 	for _, up := range e.upstreams {
 		if !e.tells(up) {
 			continue
@@ -49,14 +49,14 @@
 			}
 			l := byPeer[peer]
 			if l == nil {
-				l = &Letter{Peer: peer}
+				l = &PeerUpdate{Peer: peer}
 				byPeer[peer] = l
 				order = append(order, l)
 			}
 			l.add(up.sighting(now))
 		}
 	}
-	letters := make([]Letter, 0, len(order))
+	letters := make([]PeerUpdate, 0, len(order))
 	for _, l := range order {
 		letters = append(letters, *l)
 	}
@@ -82,28 +82,28 @@
 	return up.share.Owners
 }
 
-func (l *Letter) add(s Sighting) {
-	if n := len(l.Sightings); n > 0 && l.Sightings[n-1].Upstream == s.Upstream {
+func (l *PeerUpdate) add(s Observation) {
+	if n := len(l.Observations); n > 0 && l.Observations[n-1].Upstream == s.Upstream {
 		return
 	}
-	l.Sightings = append(l.Sightings, s)
+	l.Observations = append(l.Observations, s)
 }
 
-func (u *upstream) sighting(now model.Instant) Sighting {
-	return Sighting{
-		Upstream: u.cfg.ID,
-		Boot:     u.boot,
-		BootAge:  now.Sub(u.bootSeen),
-		Guessed:  u.guessed,
-		HeardAge: now.Sub(u.heard),
-		Health:   Health{Upstream: u.cfg.ID, Down: u.down, Draining: u.draining, Connections: u.reported},
+func (u *upstream) sighting(now model.Instant) Observation {
+	return Observation{
+		Upstream:         u.cfg.ID,
+		Boot:             u.boot,
+		BootAge:          now.Sub(u.bootSeen),
+		BootTimeInferred: u.guessed,
+		ConfirmedAge:     now.Sub(u.heard),
+		Health:           Health{Upstream: u.cfg.ID, Down: u.down, Draining: u.draining, Connections: u.reported},
 	}
 }
 
-// Hear takes a peer's letter.
-func (e *Engine) Hear(now model.Instant, l Letter) []model.Action {
+// ApplyPeerUpdate takes a peer's letter.
+func (e *Engine) ApplyPeerUpdate(now model.Instant, l PeerUpdate) []model.Action {
 	e.begin(now)
-	for _, s := range l.Sightings {
+	for _, s := range l.Observations {
 		if up := e.upstreams[s.Upstream]; up != nil {
 			e.hearSighting(now, up, s)
 		}
@@ -111,22 +111,22 @@
 	return e.actions
 }
 
-func (e *Engine) hearSighting(now model.Instant, up *upstream, s Sighting) {
-	heard, seen := now.Add(-s.HeardAge), now.Add(-s.BootAge)
+func (e *Engine) hearSighting(now model.Instant, up *upstream, s Observation) {
+	heard, seen := now.Add(-s.ConfirmedAge), now.Add(-s.BootAge)
 	if up.share != nil && up.share.Primary() != e.cfg.Self.ID {
 		e.SetHealth(now, s.Health)
 	}
 	switch {
 	case s.Boot == up.boot:
 		up.heard = max(up.heard, heard)
-		up.guessed = up.guessed && s.Guessed
+		up.guessed = up.guessed && s.BootTimeInferred
 		if seen < up.bootSeen {
 			up.bootSeen = seen
 			up.coldUntil = min(up.coldUntil, seen.Add(up.cfg.ColdFor))
 		}
 	case up.boot == 0:
 		up.restart(now, s.Boot)
-		up.bootSeen, up.heard, up.guessed = seen, heard, s.Guessed
+		up.bootSeen, up.heard, up.guessed = seen, heard, s.BootTimeInferred
 		up.coldUntil = seen.Add(up.cfg.ColdFor)
 	case heard > up.heard && up.hear(now, s.Boot):
 		up.heard = heard
@@ -164,8 +164,8 @@
 	}
 }
 
-// Polled returns the upstreams whose health this instance asks for, as their prober.
-func (e *Engine) Polled() []model.Upstream {
+// HealthCheckTargets returns the upstreams whose health this instance asks for, as their prober.
+func (e *Engine) HealthCheckTargets() []model.Upstream {
 	var out []model.Upstream
 	for _, up := range e.upstreams {
 		if up.share != nil && up.share.Primary() == e.cfg.Self.ID && up.cfg.Health.IsValid() {
--- a/internal/core/once/once.go
+++ b/internal/core/once/once.go
@@ -23,7 +23,7 @@
 // Key names one request, or one part of a transfer in parts, under one binding.
 type Key struct {
 	Serial uint64
-	Part   uint32
+	Block  uint32
 }
 
 // Entry is what is remembered of one request.
--- a/internal/peer/mesh/mesh.go
+++ b/internal/peer/mesh/mesh.go
@@ -44,13 +44,13 @@
 	// Offer takes an object that a peer has in force.
 	Offer(kind Kind, version model.Version, body []byte)
 	// Hear takes a peer's letter.
-	Hear(l engine.Letter)
+	Hear(l engine.PeerUpdate)
 	// Loads returns how busy this instance is.
 	Loads() []engine.Load
 	// HearLoads takes what a peer says of how busy it is.
 	HearLoads(from model.InstanceID, loads []engine.Load)
 	// Learn takes a peer's word of flows.
-	Learn(copies []engine.FlowCopy)
+	Learn(copies []engine.FlowAssignment)
 	// MembersChanged takes the members after any change.
 	MembersChanged(members []model.Member)
 }
@@ -138,12 +138,12 @@
 }
 
 // Tell sends a letter to a peer.
-func (m *Mesh) Tell(ctx context.Context, l engine.Letter) error {
+func (m *Mesh) Tell(ctx context.Context, l engine.PeerUpdate) error {
 	return m.callPeer(ctx, l.Peer, "Tell", letterToWire(l))
 }
 
 // Copy tells a peer where flows sit.
-func (m *Mesh) Copy(ctx context.Context, peer model.InstanceID, copies []engine.FlowCopy) error {
+func (m *Mesh) Copy(ctx context.Context, peer model.InstanceID, copies []engine.FlowAssignment) error {
 	return m.callPeer(ctx, peer, "Copy", copiesToWire(copies))
 }
 
--- a/internal/peer/mesh/wire.go
+++ b/internal/peer/mesh/wire.go
@@ -135,15 +135,15 @@
 	return out
 }
 
-func letterToWire(l engine.Letter) TellArgs {
+func letterToWire(l engine.PeerUpdate) TellArgs {
 	var args TellArgs
-	for _, s := range l.Sightings {
+	for _, s := range l.Observations {
 		args.Sightings = append(args.Sightings, Sighting{
 			Upstream:    string(s.Upstream),
 			Boot:        uint64(s.Boot),
 			BootAge:     s.BootAge,
-			HeardAge:    s.HeardAge,
-			Guessed:     s.Guessed,
+			HeardAge:    s.ConfirmedAge,
+			Guessed:     s.BootTimeInferred,
 			Down:        s.Health.Down,
 			Draining:    s.Health.Draining,
 			Connections: s.Health.Connections,
@@ -152,15 +152,15 @@
 	return args
 }
 
-func letterFromWire(args TellArgs) engine.Letter {
-	var l engine.Letter
+func letterFromWire(args TellArgs) engine.PeerUpdate {
+	var l engine.PeerUpdate
 	for _, s := range args.Sightings {
-		l.Sightings = append(l.Sightings, engine.Sighting{
-			Upstream: model.UpstreamID(s.Upstream),
-			Boot:     model.BootID(s.Boot),
-			BootAge:  max(s.BootAge, 0),
-			HeardAge: max(s.HeardAge, 0),
-			Guessed:  s.Guessed,
+		l.Observations = append(l.Observations, engine.Observation{
+			Upstream:         model.UpstreamID(s.Upstream),
+			Boot:             model.BootID(s.Boot),
+			BootAge:          max(s.BootAge, 0),
+			ConfirmedAge:     max(s.HeardAge, 0),
+			BootTimeInferred: s.Guessed,
 			Health: engine.Health{
 				Upstream:    model.UpstreamID(s.Upstream),
 				Down:        s.Down,
@@ -175,7 +175,7 @@
 func loadsToWire(loads []engine.Load) []Load {
 	out := make([]Load, 0, len(loads))
 	for _, l := range loads {
-		out = append(out, Load{Service: string(l.Service), Busy: float32(l.Busy)})
+		out = append(out, Load{Service: string(l.Service), Busy: float32(l.Utilisation)})
 	}
 	return out
 }
@@ -183,12 +183,12 @@
 func loadsFromWire(loads []Load) []engine.Load {
 	out := make([]engine.Load, 0, len(loads))
 	for _, l := range loads {
-		out = append(out, engine.Load{Service: model.ServiceID(l.Service), Busy: float64(l.Busy)})
+		out = append(out, engine.Load{Service: model.ServiceID(l.Service), Utilisation: float64(l.Busy)})
 	}
 	return out
 }
 
-func copiesToWire(copies []engine.FlowCopy) CopyArgs {
+func copiesToWire(copies []engine.FlowAssignment) CopyArgs {
 	var args CopyArgs
 	for _, c := range copies {
 		args.Flows = append(args.Flows, Flow{Caller: c.Flow.Caller, Service: c.Flow.Service, Upstream: string(c.Upstream)})
@@ -196,10 +196,10 @@
 	return args
 }
 
-func copiesFromWire(args CopyArgs) []engine.FlowCopy {
-	out := make([]engine.FlowCopy, 0, len(args.Flows))
+func copiesFromWire(args CopyArgs) []engine.FlowAssignment {
+	out := make([]engine.FlowAssignment, 0, len(args.Flows))
 	for _, f := range args.Flows {
-		out = append(out, engine.FlowCopy{
+		out = append(out, engine.FlowAssignment{
 			Flow:     model.FlowKey{Caller: f.Caller, Service: f.Service},
 			Upstream: model.UpstreamID(f.Upstream),
 		})
--- a/internal/run/entry/decide.go
+++ b/internal/run/entry/decide.go
@@ -24,7 +24,7 @@
 		case <-ctx.Done():
 			return nil
 		}
-		if e.engine.Urgent() {
+		if e.engine.TakeUrgent() {
 			e.tellNow()
 		}
 	}
--- a/internal/run/entry/entry.go
+++ b/internal/run/entry/entry.go
@@ -108,7 +108,7 @@
 	if seed == 0 {
 		seed = uint64(e.self.Boot)
 	}
-	policy, _ := engine.PolicyOf(cfg.Policy)
+	policy, _ := engine.PolicyByName(cfg.Policy)
 	e.engine = engine.New(engine.Config{Self: e.self, Start: e.start, Seed: seed, StreamLimit: cfg.StreamLimit, Policy: policy})
 	e.mesh = mesh.New(mesh.Config{
 		Listener: e.control,
--- a/internal/run/entry/health.go
+++ b/internal/run/entry/health.go
@@ -30,7 +30,7 @@
 	client := &http.Client{Timeout: healthTimeout}
 	for ctx.Err() == nil {
 		asked := make(chan []model.Upstream, 1)
-		e.do(func(model.Instant) { asked <- e.engine.Polled() })
+		e.do(func(model.Instant) { asked <- e.engine.HealthCheckTargets() })
 		select {
 		case ups := <-asked:
 			e.pollEach(ctx, client, ups)
--- a/internal/run/entry/peers.go
+++ b/internal/run/entry/peers.go
@@ -49,8 +49,8 @@
 }
 
 // Hear implements mesh.Host.
-func (e *Entry) Hear(l engine.Letter) {
-	e.do(func(now model.Instant) { e.act(e.engine.Hear(now, l)) })
+func (e *Entry) Hear(l engine.PeerUpdate) {
+	e.do(func(now model.Instant) { e.act(e.engine.ApplyPeerUpdate(now, l)) })
 }
 
 // Loads implements mesh.Host.
@@ -64,12 +64,12 @@
 
 // HearLoads implements mesh.Host.
 func (e *Entry) HearLoads(from model.InstanceID, loads []engine.Load) {
-	e.do(func(model.Instant) { e.engine.HearLoads(from, loads) })
+	e.do(func(model.Instant) { e.engine.SetPeerLoads(from, loads) })
 }
 
 // Learn implements mesh.Host.
-func (e *Entry) Learn(copies []engine.FlowCopy) {
-	e.do(func(now model.Instant) { e.engine.Learn(now, copies) })
+func (e *Entry) Learn(copies []engine.FlowAssignment) {
+	e.do(func(now model.Instant) { e.engine.AddAssignments(now, copies) })
 }
 
 // seed reads the platform's list for instances that are not known yet.
@@ -114,7 +114,7 @@
 	e.listed.Store(&listing{live: live})
 	e.mesh.Seed(ctx, seeds)
 	e.MembersChanged(e.mesh.Members())
-	e.do(func(model.Instant) { e.engine.Meet() })
+	e.do(func(model.Instant) { e.engine.SetPeersContacted() })
 }
 
 // share tells co-owners of upstreams what was heard of them, and homes where flows sit.
@@ -123,7 +123,7 @@
 		e.do(func(now model.Instant) {
 			loads := e.engine.Loads(now)
 			e.loads.Store(&loads)
-			e.post(e.engine.Letters(now), e.engine.Copies(copiesPerShare))
+			e.post(e.engine.PeerUpdates(now), e.engine.TakeAssignments(copiesPerShare))
 		})
 		sleep(ctx, shareInterval)
 	}
@@ -132,11 +132,11 @@
 
 // tellNow tells co-owners at once of a restarted upstream.
 func (e *Entry) tellNow() {
-	e.post(e.engine.Letters(e.now()), nil)
+	e.post(e.engine.PeerUpdates(e.now()), nil)
 }
 
 // post sends letters and copies without waiting for them.
-func (e *Entry) post(letters []engine.Letter, copies []engine.FlowCopy) {
+func (e *Entry) post(letters []engine.PeerUpdate, copies []engine.FlowAssignment) {
 	for _, l := range letters {
 		go func() {
 			if e.mesh.Tell(context.Background(), l) != nil {
@@ -144,7 +144,7 @@
 			}
 		}()
 	}
-	byPeer := map[model.InstanceID][]engine.FlowCopy{}
+	byPeer := map[model.InstanceID][]engine.FlowAssignment{}
 	for _, c := range copies {
 		byPeer[c.Peer] = append(byPeer[c.Peer], c)
 	}
@@ -152,7 +152,7 @@
 		go func() {
 			if e.mesh.Copy(context.Background(), peer, batch) != nil {
 				e.counts.Counter("mesh.copy_failed").Inc(1)
-				e.do(func(model.Instant) { e.engine.Recopy(batch) })
+				e.do(func(model.Instant) { e.engine.RequeueAssignments(batch) })
 			}
 		}()
 	}
