--- a/internal/bench/replay/instance.go
+++ b/internal/bench/replay/instance.go
@@ -51,10 +51,10 @@
 		in.up = n
 		in.engine = direct.New(direct.Config{
 			Domain: in.domain, Seed: in.w.cfg.Seed + uint64(n) + uint64(in.w.rng.Uint32()), Limits: direct.Limits{Domains: len(in.w.domains), FlowLife: flowLife},
-			Policy: in.w.cfg.Policy, Without: in.w.cfg.Without,
+			Policy: in.w.cfg.Policy, Disabled: in.w.cfg.Without,
 		})
 		in.engine.SetRoutes(routes())
-		in.engine.SetPlace(model.Ordinal{Index: in.index, Count: in.w.p.Instances}, in.now().Add(in.w.p.Length))
+		in.engine.SetOrdinal(model.Ordinal{Index: in.index, Count: in.w.p.Instances}, in.now().Add(in.w.p.Length))
 		in.install()
 		in.engine.SetReady(in.now())
 		in.schedule(in.w.now)
@@ -149,7 +149,7 @@
 func (in *instance) schedule(now model.Instant) {
 	const regular = 100 * time.Millisecond
 	at := now.Add(regular)
-	if next, ok := in.engine.Next(); ok {
+	if next, ok := in.engine.NextDeadline(); ok {
 		at = min(at, max(next.Add(-roster.OutageGrace-time.Second), now))
 	}
 	if in.tick > now && in.tick <= at {
@@ -171,7 +171,7 @@
 
 // tell passes on what the instance found silent.
 func (in *instance) tell() {
-	d := in.engine.Doubts()
+	d := in.engine.TakeSuspicion()
 	if d.Empty() {
 		return
 	}
@@ -181,7 +181,7 @@
 		}
 		in.w.after(wordDelay, func() {
 			if other.up != 0 {
-				other.carry(other.engine.HearDoubt(other.now(), d), nil)
+				other.carry(other.engine.HandleSuspicion(other.now(), d), nil)
 				other.schedule(in.w.now)
 			}
 		})
@@ -200,7 +200,7 @@
 				in.w.after(toCaller, target.wasReset)
 			}
 		case model.VerbProbe:
-			in.probe(a.Upstream, a.Wait)
+			in.probe(a.Upstream, a.Timeout)
 		}
 	}
 }
@@ -228,7 +228,7 @@
 	}
 	in.w.after(wait, func() {
 		if in.up == n {
-			in.carry(in.engine.Probed(in.now(), known, outcome), nil)
+			in.carry(in.engine.FinishProbe(in.now(), known, outcome), nil)
 		}
 	})
 }
--- a/internal/bench/replay/variant.go
+++ b/internal/bench/replay/variant.go
@@ -14,7 +14,7 @@
 type Variant struct {
 	Name    string
 	Policy  choose.Policy[Candidate]
-	Without direct.Without
+	Without direct.Disabled
 }
 
 // Running is the number of requests under way, which simpler policies go by.
@@ -31,11 +31,11 @@
 func Variants() []Variant {
 	return []Variant{
 		{Name: "product"},
-		{Name: "no resend", Without: direct.Without{Resend: true}},
-		{Name: "no probes", Without: direct.Without{Probes: true}},
-		{Name: "no resets", Without: direct.Without{Resets: true}},
-		{Name: "no word", Without: direct.Without{Word: true}},
-		{Name: "always ready", Without: direct.Without{Isolation: true}},
+		{Name: "no resend", Without: direct.Disabled{Resend: true}},
+		{Name: "no probes", Without: direct.Disabled{Probes: true}},
+		{Name: "no resets", Without: direct.Disabled{Resets: true}},
+		{Name: "no word", Without: direct.Disabled{Suspicions: true}},
+		{Name: "always ready", Without: direct.Disabled{Isolation: true}},
 		{Name: "random", Policy: choose.Random[Candidate]{}},
 		{Name: "least running", Policy: choose.Least[Candidate]{Score: Running}},
 		{Name: "two choices", Policy: choose.TwoChoices[Candidate]{Score: Running}},
--- a/internal/bench/replay/world.go
+++ b/internal/bench/replay/world.go
@@ -32,7 +32,7 @@
 	// Policy picks upstreams; nil for the product's own policy.
 	Policy choose.Policy[place.Candidate[*roster.Upstream]]
 	// Without names decisions that are replaced by their simpler alternative.
-	Without direct.Without
+	Without direct.Disabled
 }
 
 // world is one replay.
--- a/internal/core/direct/bench_test.go
+++ b/internal/core/direct/bench_test.go
@@ -54,7 +54,7 @@
 		seg.Seq += 100
 		seg.AckSeq += 50
 		e.Packet(now, &seg)
-		e.Samples()
+		e.TakeSamples()
 	}
 }
 
@@ -70,7 +70,7 @@
 				runtime.ReadMemStats(&before)
 				for i := range n {
 					e.Packet(model.Instant(time.Minute), &model.Segment{Flow: benchFlow(i), HasAck: true, Tag: tag, Seq: 1, AckSeq: 1, Size: 100, Raw: []byte{1}})
-					e.Samples()
+					e.TakeSamples()
 				}
 				runtime.GC()
 				runtime.ReadMemStats(&after)
--- a/internal/core/direct/cold.go
+++ b/internal/core/direct/cold.go
@@ -23,8 +23,8 @@
 	up *roster.Upstream
 }
 
-// SetPlace notes the number of this instance among those of its failure domain, and until when to believe in it.
-func (e *Engine) SetPlace(p model.Ordinal, until model.Instant) {
+// SetOrdinal notes the number of this instance among those of its failure domain, and until when to believe in it.
+func (e *Engine) SetOrdinal(p model.Ordinal, until model.Instant) {
 	e.place, e.placeUntil = p, until
 }
 
--- a/internal/core/direct/cold_test.go
+++ b/internal/core/direct/cold_test.go
@@ -42,7 +42,7 @@
 			d.True(d.e.SetRoutes(limits))
 			d.list(item)
 			d.e.SetReady(d.now)
-			d.e.SetPlace(tc.place, d.now.Add(time.Second))
+			d.e.SetOrdinal(tc.place, d.now.Add(time.Second))
 			d.now = d.now.Add(tc.late)
 			placed := 0
 			for port := uint16(1); port <= 30; port++ {
@@ -73,7 +73,7 @@
 		d.True(d.e.SetRoutes(table(1)))
 		d.list(items...)
 		d.e.SetReady(d.now)
-		d.e.SetPlace(model.Ordinal{Index: n, Count: instances}, d.now.Add(time.Hour))
+		d.e.SetOrdinal(model.Ordinal{Index: n, Count: instances}, d.now.Add(time.Hour))
 		desks = append(desks, d)
 	}
 	sent := map[model.UpstreamID][]model.Instant{}
@@ -128,13 +128,13 @@
 				for _, n := range tc.down {
 					ups[n].Health.RecordTimeout(d.now)
 					ups[n].Health.StartProbe(d.now)
-					d.e.Probed(d.now, ups[n], health.OutcomeFailed)
+					d.e.FinishProbe(d.now, ups[n], health.OutcomeFailed)
 				}
 				d.now = d.now.Add(time.Second)
 			}
 			for _, n := range tc.down {
 				ups[n].Health.StartProbe(d.now)
-				d.e.Probed(d.now, ups[n], health.OutcomeAnswered)
+				d.e.FinishProbe(d.now, ups[n], health.OutcomeAnswered)
 			}
 			if tc.told != nil {
 				tc.told(&items[0])
--- a/internal/core/direct/doubt.go
+++ b/internal/core/direct/doubt.go
@@ -27,8 +27,8 @@
 	return doubts{upstreams: map[model.UpstreamID]model.Instant{}, domains: map[model.DomainID]model.Instant{}}
 }
 
-// Doubts returns what others of the failure domain should look at, since the last call.
-func (e *Engine) Doubts() model.Suspicion {
+// TakeSuspicion returns what others of the failure domain should look at, since the last call.
+func (e *Engine) TakeSuspicion() model.Suspicion {
 	d := e.doubts.next
 	e.doubts.next = model.Suspicion{}
 	return d
@@ -66,11 +66,11 @@
 	}
 }
 
-// HearDoubt takes another instance's word: it proves nothing, but lets this instance probe at once what it would have missed only with its
+// HandleSuspicion takes another instance's word: it proves nothing, but lets this instance probe at once what it would have missed only with its
 // next flows. The actions are valid until the next call.
-func (e *Engine) HearDoubt(now model.Instant, d model.Suspicion) []Action {
+func (e *Engine) HandleSuspicion(now model.Instant, d model.Suspicion) []Action {
 	e.actions = e.actions[:0]
-	if e.cfg.Without.Word || e.cfg.Without.Probes {
+	if e.cfg.Disabled.Suspicions || e.cfg.Disabled.Probes {
 		return nil
 	}
 	for _, id := range d.Domains {
--- a/internal/core/direct/engine.go
+++ b/internal/core/direct/engine.go
@@ -31,8 +31,8 @@
 	Limits Limits
 	// Policy picks the upstream of a new flow; nil for the default policy.
 	Policy choose.Policy[place.Candidate[*roster.Upstream]]
-	// Without replaces decisions by their simpler alternative, for comparison.
-	Without Without
+	// Disabled replaces decisions by their simpler alternative, for comparison.
+	Disabled Disabled
 }
 
 // Limits holds the figures that may change while an engine decides.
@@ -47,16 +47,16 @@
 	ColdSlack float64
 }
 
-// Without names decisions that are left out.
-type Without struct {
+// Disabled names decisions that are left out.
+type Disabled struct {
 	// Resend leaves opening packets to the caller's own copies.
 	Resend bool
 	// Probes leaves upstreams without an answer in use.
 	Probes bool
 	// Resets leaves callers of unreachable upstreams to their deadline.
 	Resets bool
-	// Word keeps what other instances found silent from this one.
-	Word bool
+	// Suspicions keeps what other instances found silent from this one.
+	Suspicions bool
 	// Isolation keeps an instance ready that reaches no upstream.
 	Isolation bool
 }
@@ -69,24 +69,24 @@
 	Flow   model.FlowKey
 	// Upstream is set for VerbForward and VerbProbe, and for others where one is concerned.
 	Upstream *roster.Upstream
-	// Offered is set when the packet opens a flow: how many upstreams got it so far, this one included.
-	Offered int
-	// Choices is how many upstreams the choice was between; it is set with Offered.
-	Choices int
+	// Attempt is set when the packet opens a flow: how many upstreams got it so far, this one included.
+	Attempt int
+	// Candidates is how many upstreams the choice was between; it is set with Offered.
+	Candidates int
 	// Tag is the one that the caller's packet carried.
 	Tag model.RoutingTag
-	// Wait is how long the probe may take; it is set for VerbProbe.
-	Wait time.Duration
+	// Timeout is how long the probe may take; it is set for VerbProbe.
+	Timeout time.Duration
 	// Raw is the packet to forward.
 	Raw []byte
-	// Position is what the caller last acknowledged; it is set for VerbReset.
-	Position uint32
+	// Seq is what the caller last acknowledged; it is set for VerbReset.
+	Seq uint32
 }
 
 // Sample is one time that was measured.
 type Sample struct {
-	Kind SampleKind
-	Took time.Duration
+	Kind     SampleKind
+	Duration time.Duration
 }
 
 // SampleKind says what was measured.
@@ -105,12 +105,12 @@
 
 func (e *Engine) sample(kind SampleKind, took time.Duration) {
 	if len(e.samples) < samplesLimit {
-		e.samples = append(e.samples, Sample{Kind: kind, Took: took})
+		e.samples = append(e.samples, Sample{Kind: kind, Duration: took})
 	}
 }
 
-// Samples returns what was measured since the last call; it is valid until the next packet.
-func (e *Engine) Samples() []Sample {
+// TakeSamples returns what was measured since the last call; it is valid until the next packet.
+func (e *Engine) TakeSamples() []Sample {
 	list := e.samples
 	e.samples = e.samples[:0]
 	return list
@@ -144,7 +144,7 @@
 	// early holds packets until the engine is ready; at most earlyLimit.
 	early   []earlyPacket
 	actions []Action
-	notes   []Note
+	notes   []Event
 	samples []Sample
 	// released is reused from one release to the next.
 	released []model.FlowKey
@@ -224,8 +224,8 @@
 	seg model.Segment
 }
 
-// Flows returns how many flows are remembered.
-func (e *Engine) Flows() int {
+// FlowCount returns how many flows are remembered.
+func (e *Engine) FlowCount() int {
 	return e.flows.Len()
 }
 
@@ -288,8 +288,8 @@
 	return e.actions
 }
 
-// Next returns when Tick is due for a handshake; ok is false when none waits.
-func (e *Engine) Next() (at model.Instant, ok bool) {
+// NextDeadline returns when Tick is due for a handshake; ok is false when none waits.
+func (e *Engine) NextDeadline() (at model.Instant, ok bool) {
 	return e.timers.next()
 }
 
@@ -300,7 +300,7 @@
 
 // reset ends a flow towards its caller; up is nil where none is concerned.
 func (e *Engine) reset(seg *model.Segment, up *roster.Upstream, reason model.Reason) {
-	e.actions = append(e.actions, Action{Verb: model.VerbReset, Reason: reason, Flow: seg.Flow, Upstream: up, Position: seg.AckSeq, Tag: seg.Tag})
+	e.actions = append(e.actions, Action{Verb: model.VerbReset, Reason: reason, Flow: seg.Flow, Upstream: up, Seq: seg.AckSeq, Tag: seg.Tag})
 }
 
 // drop leaves a packet; up is nil where none is concerned.
--- a/internal/core/direct/engine_test.go
+++ b/internal/core/direct/engine_test.go
@@ -106,7 +106,7 @@
 	u.Health.RecordTimeout(d.now)
 	for range 3 {
 		u.Health.StartProbe(d.now)
-		d.e.Probed(d.now, u, health.OutcomeFailed)
+		d.e.FinishProbe(d.now, u, health.OutcomeFailed)
 		d.now = d.now.Add(time.Second)
 	}
 }
@@ -175,7 +175,7 @@
 				a := d.data(1, to, up.Tag)
 				d.Equal(a.Verb, model.VerbReset)
 				d.Equal(a.Reason, model.ReasonUpstreamGone)
-				d.Equal(a.Position, uint32(1))
+				d.Equal(a.Seq, uint32(1))
 			}
 		},
 		"the flow of a route that is removed is reset": func(d *desk) {
@@ -242,7 +242,7 @@
 			up.Health.RecordTimeout(d.now)
 			for range 2 {
 				up.Health.StartProbe(d.now)
-				d.e.Probed(d.now, up, health.OutcomeFailed)
+				d.e.FinishProbe(d.now, up, health.OutcomeFailed)
 				d.now = d.now.Add(time.Second)
 			}
 			d.Equal(d.data(2, feedAddress, up.Tag).Verb, model.VerbForward)
@@ -261,7 +261,7 @@
 			for range 2 {
 				up.Health.StartProbe(d.now)
 				d.now = d.now.Add(100 * time.Millisecond)
-				for _, a := range d.e.Probed(d.now, up, health.OutcomeFailed) {
+				for _, a := range d.e.FinishProbe(d.now, up, health.OutcomeFailed) {
 					if a.Verb != model.VerbProbe {
 						out = append(out, a)
 					}
@@ -282,7 +282,7 @@
 				d.silence(u)
 			}
 			d.True(d.e.Isolated())
-			d.e.Probed(d.now, d.e.Roster().ByService("desk")[0], health.OutcomeAnswered)
+			d.e.FinishProbe(d.now, d.e.Roster().ByService("desk")[0], health.OutcomeAnswered)
 			d.True(!d.e.Isolated())
 		},
 		"packets that overtake each other blame nobody": func(d *desk) {
@@ -305,7 +305,7 @@
 			a := d.syn(1, feedAddress, 0)
 			d.Equal(a.Verb, model.VerbForward)
 			d.Equal(a.Reason, model.ReasonNone)
-			d.Equal(a.Offered, 1)
+			d.Equal(a.Attempt, 1)
 		},
 	}
 	for name, check := range cases {
--- a/internal/core/direct/open.go
+++ b/internal/core/direct/open.go
@@ -89,7 +89,7 @@
 	e.cold.note(now, up)
 	e.actions = append(e.actions, Action{
 		Verb: model.VerbForward, Reason: reason, Flow: key, Upstream: up, Raw: f.opening,
-		Offered: len(f.tried), Choices: len(e.candidates),
+		Attempt: len(f.tried), Candidates: len(e.candidates),
 	})
 }
 
@@ -117,7 +117,7 @@
 
 func (e *Engine) resend(now model.Instant, key model.FlowKey, f *flow) {
 	r := e.routes[key.Service]
-	if r == nil || len(f.tried) >= triesLimit || e.cfg.Without.Resend {
+	if r == nil || len(f.tried) >= triesLimit || e.cfg.Disabled.Resend {
 		return
 	}
 	if !e.budget.TryWithdraw() {
--- a/internal/core/direct/packet.go
+++ b/internal/core/direct/packet.go
@@ -49,7 +49,7 @@
 		e.ended(seg, f, up, model.ReasonUpstreamGone)
 		return
 	}
-	if seg.Size > 0 && r.Kind == model.RouteIdempotent && up.Health.Unreachable(f.waits(now, seg)) && !e.cfg.Without.Resets {
+	if seg.Size > 0 && r.Kind == model.RouteIdempotent && up.Health.Unreachable(f.waits(now, seg)) && !e.cfg.Disabled.Resets {
 		// The caller may repeat its request, and a new flow finds an upstream that can be reached.
 		e.ended(seg, f, up, model.ReasonUpstreamUnreachable)
 		return
--- a/internal/core/direct/reach.go
+++ b/internal/core/direct/reach.go
@@ -16,7 +16,7 @@
 
 // Isolated reports whether there are upstreams but none that this instance can reach: callers are better off elsewhere.
 func (e *Engine) Isolated() bool {
-	if e.cfg.Without.Isolation {
+	if e.cfg.Disabled.Isolation {
 		return false
 	}
 	some := false
@@ -34,13 +34,13 @@
 
 // miss counts an unanswered packet against an upstream and lets a probe tell a lost packet from a lost upstream.
 func (e *Engine) miss(now model.Instant, u *roster.Upstream, sent model.Instant) {
-	if e.cfg.Without.Probes {
+	if e.cfg.Disabled.Probes {
 		return
 	}
 	was := u.Health.Ejected()
 	u.Health.RecordTimeout(sent)
 	if !was && u.Health.Ejected() {
-		e.note(Note{Kind: NoteBarred, Upstream: u})
+		e.note(Event{Kind: EventUpstreamEjected, Upstream: u})
 	}
 	e.probe(now, u)
 }
@@ -48,7 +48,7 @@
 // alive notes a sign of life of an upstream.
 func (e *Engine) alive(now model.Instant, u *roster.Upstream) {
 	if u.Health.Ejected() {
-		e.note(Note{Kind: NoteReachable, Upstream: u, Silent: u.Health.UnansweredFor(now)})
+		e.note(Event{Kind: EventUpstreamReachable, Upstream: u, UnansweredFor: u.Health.UnansweredFor(now)})
 	}
 	e.returned(now, u)
 	u.Health.RecordSuccess(now)
@@ -68,7 +68,7 @@
 	if !e.domain(id).RecordSuccess(now) {
 		return
 	}
-	e.note(Note{Kind: NoteDomainReachable, Domain: id})
+	e.note(Event{Kind: EventDomainReachable, Domain: id})
 	for _, u := range e.roster.All() {
 		if u.Domain == id {
 			u.Health.ExpediteProbe()
@@ -80,12 +80,12 @@
 func (e *Engine) probe(now model.Instant, u *roster.Upstream) {
 	if u.State != roster.StateGone && e.probing < probesAtOnce && u.Health.StartProbe(now) {
 		e.probing++
-		e.actions = append(e.actions, Action{Verb: model.VerbProbe, Upstream: u, Wait: u.Health.ProbeTimeout()})
+		e.actions = append(e.actions, Action{Verb: model.VerbProbe, Upstream: u, Timeout: u.Health.ProbeTimeout()})
 	}
 }
 
-// Probed takes the outcome of a probe; the actions are valid until the next call.
-func (e *Engine) Probed(now model.Instant, u *roster.Upstream, outcome health.Outcome) []Action {
+// FinishProbe takes the outcome of a probe; the actions are valid until the next call.
+func (e *Engine) FinishProbe(now model.Instant, u *roster.Upstream, outcome health.Outcome) []Action {
 	e.actions = e.actions[:0]
 	e.judge(now, u, outcome)
 	if outcome == health.OutcomeFailed && u.Health.Unreachable(true) {
@@ -97,7 +97,7 @@
 // release resets the idempotent flows that wait for an upstream which cannot be reached: their next repeat may come after
 // their caller's deadline.
 func (e *Engine) release(u *roster.Upstream) {
-	if e.cfg.Without.Resets {
+	if e.cfg.Disabled.Resets {
 		return
 	}
 	e.flows.Each(func(key model.FlowKey, f *flow) bool {
@@ -124,20 +124,20 @@
 	e.probing--
 	if outcome == health.OutcomeAnswered {
 		if was {
-			e.note(Note{Kind: NoteReachable, Upstream: u})
+			e.note(Event{Kind: EventUpstreamReachable, Upstream: u})
 		}
 		e.domainAlive(now, u.Domain)
 		return
 	}
 	if !was && u.Health.Ejected() {
-		e.note(Note{Kind: NoteBarred, Upstream: u})
+		e.note(Event{Kind: EventUpstreamEjected, Upstream: u})
 	}
 	if outcome != health.OutcomeFailed || !u.Health.Ejected() {
 		return
 	}
 	d := e.domain(u.Domain)
 	if d.RecordProbeFailure(now, u.ID) {
-		e.note(Note{Kind: NoteDomainCut, Domain: u.Domain})
+		e.note(Event{Kind: EventDomainPartitioned, Domain: u.Domain})
 	}
 	if d.Partitioned() {
 		e.blamePath(u.Domain)
--- a/internal/core/direct/reach_test.go
+++ b/internal/core/direct/reach_test.go
@@ -21,12 +21,12 @@
 		t.Run(name, func(t *testing.T) {
 			d := newDesk(t, three()...)
 			ups := d.e.Roster().ByService("desk")
-			d.e.Probed(d.now, ups[1], health.OutcomeAnswered)
+			d.e.FinishProbe(d.now, ups[1], health.OutcomeAnswered)
 			d.now = d.now.Add(tc.silent)
 			ups[0].Health.RecordTimeout(d.now)
 			ups[0].Health.StartProbe(d.now)
 			probes := 0
-			for _, a := range d.e.Probed(d.now, ups[0], health.OutcomeFailed) {
+			for _, a := range d.e.FinishProbe(d.now, ups[0], health.OutcomeFailed) {
 				if a.Verb == model.VerbProbe {
 					d.Equal(a.Upstream, ups[1])
 					probes++
--- a/internal/core/direct/replay_test.go
+++ b/internal/core/direct/replay_test.go
@@ -23,18 +23,18 @@
 	cases := map[string]struct {
 		pattern string
 		// without is the simpler alternative.
-		without direct.Without
+		without direct.Disabled
 		policy  choose.Policy[replay.Candidate]
 		// saved is the least part of the alternative's losses that the decision must save.
 		saved float64
 		// failures compares requests that were never served in place of all losses.
 		failures bool
 	}{
-		"resending, when upstreams fall silent":                         {pattern: "third", without: direct.Without{Resend: true}, saved: 0.03},
-		"probing, when upstreams fall silent":                           {pattern: "dead", without: direct.Without{Probes: true}, saved: 0.9, failures: true},
-		"resetting idempotent flows, when upstreams fall silent":        {pattern: "dead", without: direct.Without{Resets: true}, saved: 0.9, failures: true},
-		"resetting idempotent flows, when a domain is cut off":          {pattern: "cut", without: direct.Without{Resets: true}, saved: 0.9, failures: true},
-		"leaving the rotation, when nobody can be reached":              {pattern: "outcut", without: direct.Without{Isolation: true}, saved: 0.5},
+		"resending, when upstreams fall silent":                         {pattern: "third", without: direct.Disabled{Resend: true}, saved: 0.03},
+		"probing, when upstreams fall silent":                           {pattern: "dead", without: direct.Disabled{Probes: true}, saved: 0.9, failures: true},
+		"resetting idempotent flows, when upstreams fall silent":        {pattern: "dead", without: direct.Disabled{Resets: true}, saved: 0.9, failures: true},
+		"resetting idempotent flows, when a domain is cut off":          {pattern: "cut", without: direct.Disabled{Resets: true}, saved: 0.9, failures: true},
+		"leaving the rotation, when nobody can be reached":              {pattern: "outcut", without: direct.Disabled{Isolation: true}, saved: 0.5},
 		"speed and distance against chance, when speeds differ":         {pattern: "calm", policy: choose.Random[replay.Candidate]{}, saved: 0.25},
 		"speed and distance against chance, under twice the load":       {pattern: "burst", policy: choose.Random[replay.Candidate]{}, saved: 0.5},
 		"speed and distance against chance, when a domain is cut off":   {pattern: "cut", policy: choose.Random[replay.Candidate]{}, saved: 0.4},
--- a/internal/core/fresh/explain_test.go
+++ b/internal/core/fresh/explain_test.go
@@ -24,7 +24,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(fresh.Explained(20, tc.newest, tc.complete...), tc.want)
+			is.New(t).Equal(fresh.CaughtUp(20, tc.newest, tc.complete...), tc.want)
 		})
 	}
 }
--- a/internal/core/fresh/fresh.go
+++ b/internal/core/fresh/fresh.go
@@ -16,21 +16,21 @@
 	timeoutGrowth = 2
 )
 
-// Pace is the rhythm of reads of one process.
-type Pace struct {
-	// Bound is the time in which a change must be in force.
-	Bound time.Duration
+// Pacer is the rhythm of reads of one process.
+type Pacer struct {
+	// MaxStaleness is the time in which a change must be in force.
+	MaxStaleness time.Duration
 	// failures counts the reads in a row that failed.
 	failures int
 }
 
 // Interval returns the time between two reads while the store answers.
-func (p *Pace) Interval() time.Duration {
-	return p.Bound / readsPerBound
+func (p *Pacer) Interval() time.Duration {
+	return p.MaxStaleness / readsPerBound
 }
 
 // Timeout returns how long the next read may take.
-func (p *Pace) Timeout() time.Duration {
+func (p *Pacer) Timeout() time.Duration {
 	t := timeoutFloor
 	for range p.failures {
 		t = min(t*timeoutGrowth, timeoutCeiling)
@@ -38,8 +38,8 @@
 	return t
 }
 
-// Done notes the outcome of a read that took so long; it returns the pause before the next.
-func (p *Pace) Done(ok bool, took time.Duration) time.Duration {
+// FinishRead notes the outcome of a read that took so long; it returns the pause before the next.
+func (p *Pacer) FinishRead(ok bool, took time.Duration) time.Duration {
 	if !ok {
 		p.failures++
 		return retryPause
--- a/internal/core/fresh/keeper.go
+++ b/internal/core/fresh/keeper.go
@@ -12,15 +12,15 @@
 
 // The steps.
 const (
-	// StepStore reads the platform's store.
-	StepStore Step = iota + 1
-	// StepReader waits for the next word of the instance that reads for the failure domain.
-	StepReader
-	// StepClaim tries to become that instance, by a conditional write.
-	StepClaim
+	// StepReadStore reads the platform's store.
+	StepReadStore Step = iota + 1
+	// StepPollReader waits for the next word of the instance that reads for the failure domain.
+	StepPollReader
+	// StepClaimRole tries to become that instance, by a conditional write.
+	StepClaimRole
 )
 
-var stepNames = map[Step]string{StepStore: "store", StepReader: "reader", StepClaim: "claim"}
+var stepNames = map[Step]string{StepReadStore: "store", StepPollReader: "reader", StepClaimRole: "claim"}
 
 // String returns the step's name.
 func (s Step) String() string {
@@ -40,12 +40,12 @@
 	claimPause = time.Second
 )
 
-// Keeper decides from whom one instance learns what the platform knows. One instance of a failure domain reads the store
+// Scheduler decides from whom one instance learns what the platform knows. One instance of a failure domain reads the store
 // and tells the others, so that calls do not grow with instances. Who reads is an entry in the store; whoever finds the
 // reader silent or outdated reads for itself and claims the seat. Two readers at once cost calls and break nothing.
-type Keeper struct {
+type Scheduler struct {
 	self model.InstanceID
-	pace Pace
+	pace Pacer
 	// seat is as last read; read tells whether it ever was.
 	seat model.ReaderRecord
 	read bool
@@ -62,19 +62,19 @@
 	next model.Instant
 }
 
-// KeeperConfig is what a Keeper is built from.
-type KeeperConfig struct {
+// SchedulerConfig is what a Keeper is built from.
+type SchedulerConfig struct {
 	// Self is this instance.
 	Self model.InstanceID
-	// Bound is the time in which changes must be in force.
-	Bound time.Duration
-	// Link is the speed of the instance's own link in Mbit/s; the fastest should read for the others.
-	Link float64
+	// MaxStaleness is the time in which changes must be in force.
+	MaxStaleness time.Duration
+	// LinkMbps is the speed of the instance's own link in Mbit/s; the fastest should read for the others.
+	LinkMbps float64
 }
 
-// NewKeeper returns the keeper of an instance.
-func NewKeeper(cfg KeeperConfig) *Keeper {
-	return &Keeper{self: cfg.Self, pace: Pace{Bound: cfg.Bound}, delay: claimDelay(cfg.Link)}
+// NewScheduler returns the keeper of an instance.
+func NewScheduler(cfg SchedulerConfig) *Scheduler {
+	return &Scheduler{self: cfg.Self, pace: Pacer{MaxStaleness: cfg.MaxStaleness}, delay: claimDelay(cfg.LinkMbps)}
 }
 
 // claimDelay returns how long an instance leaves a vacant seat to faster ones: what the reader tells goes to all others of
@@ -84,70 +84,70 @@
 	return time.Duration(slowness * float64(slowestClaim))
 }
 
-// SetLink replaces the speed of the instance's own link in Mbit/s.
-func (k *Keeper) SetLink(mbps float64) {
+// SetLinkMbps replaces the speed of the instance's own link in Mbit/s.
+func (k *Scheduler) SetLinkMbps(mbps float64) {
 	k.delay = claimDelay(mbps)
 }
 
-// SetBound replaces the time in which changes must be in force; it reports whether that has changed.
-func (k *Keeper) SetBound(bound time.Duration) bool {
-	changed := k.pace.Bound != bound
-	k.pace.Bound = bound
+// SetMaxStaleness replaces the time in which changes must be in force; it reports whether that has changed.
+func (k *Scheduler) SetMaxStaleness(bound time.Duration) bool {
+	changed := k.pace.MaxStaleness != bound
+	k.pace.MaxStaleness = bound
 	return changed
 }
 
 // Next returns the next step and how long to wait before it.
-func (k *Keeper) Next(now model.Instant) (Step, time.Duration) {
+func (k *Scheduler) Next(now model.Instant) (Step, time.Duration) {
 	wait := max(k.next.Sub(now), 0)
 	switch {
 	case !k.read || k.look || k.seat.Holder == k.self:
-		return StepStore, wait
+		return StepReadStore, wait
 	case k.vacant():
 		if k.claimed != 0 && now.Sub(k.claimed) < claimPause {
-			return StepStore, wait
+			return StepReadStore, wait
 		}
 		if left := k.vacantSince.Add(k.delay).Sub(now); k.delay > 0 && left > 0 {
-			return StepStore, left
+			return StepReadStore, left
 		}
-		return StepClaim, 0
+		return StepClaimRole, 0
 	default:
-		return StepReader, wait
+		return StepPollReader, wait
 	}
 }
 
 // vacant reports whether the seat has no holder that is worth asking.
-func (k *Keeper) vacant() bool {
+func (k *Scheduler) vacant() bool {
 	return k.seat.Holder == "" || k.seat.Revision == k.failed
 }
 
-// Seat returns the seat as last read.
-func (k *Keeper) Seat() model.ReaderRecord {
+// ReaderRecord returns the seat as last read.
+func (k *Scheduler) ReaderRecord() model.ReaderRecord {
 	return k.seat
 }
 
-// Reading reports whether this instance reads for others.
-func (k *Keeper) Reading() bool {
+// IsReader reports whether this instance reads for others.
+func (k *Scheduler) IsReader() bool {
 	return k.read && k.seat.Holder == k.self
 }
 
 // StoreTimeout returns how long a read of the store may take.
-func (k *Keeper) StoreTimeout() time.Duration {
+func (k *Scheduler) StoreTimeout() time.Duration {
 	return k.pace.Timeout()
 }
 
-// ReaderWait returns how long the reader's next word may take.
-func (k *Keeper) ReaderWait() time.Duration {
+// ReaderTimeout returns how long the reader's next word may take.
+func (k *Scheduler) ReaderTimeout() time.Duration {
 	return k.pace.Interval() + readerSlack
 }
 
 // MaxAge returns how old a reader's own knowledge may be before others look for themselves.
-func (k *Keeper) MaxAge() time.Duration {
+func (k *Scheduler) MaxAge() time.Duration {
 	return ageIntervals * k.pace.Interval()
 }
 
-// StoreRead takes the outcome of a read that began at start.
-func (k *Keeper) StoreRead(now, start model.Instant, seat model.ReaderRecord, ok bool) {
-	k.next = now.Add(k.pace.Done(ok, now.Sub(start)))
+// FinishStoreRead takes the outcome of a read that began at start.
+func (k *Scheduler) FinishStoreRead(now, start model.Instant, seat model.ReaderRecord, ok bool) {
+	k.next = now.Add(k.pace.FinishRead(ok, now.Sub(start)))
 	if !ok {
 		// The reader may know more than a store that does not answer here.
 		k.look = !k.read || k.vacant()
@@ -162,8 +162,8 @@
 	}
 }
 
-// ReaderTold takes the outcome of a question to the reader; age is that of what it knows.
-func (k *Keeper) ReaderTold(now model.Instant, age time.Duration, ok bool) {
+// FinishReaderPoll takes the outcome of a question to the reader; age is that of what it knows.
+func (k *Scheduler) FinishReaderPoll(now model.Instant, age time.Duration, ok bool) {
 	k.next = now
 	if ok && age <= k.MaxAge() {
 		return
@@ -171,8 +171,8 @@
 	k.failed, k.look = k.seat.Revision, true
 }
 
-// Claimed takes the outcome of a claim: the seat as it is now, if the store answered.
-func (k *Keeper) Claimed(now model.Instant, seat model.ReaderRecord, ok bool) {
+// FinishClaim takes the outcome of a claim: the seat as it is now, if the store answered.
+func (k *Scheduler) FinishClaim(now model.Instant, seat model.ReaderRecord, ok bool) {
 	k.next = now
 	if !ok {
 		k.claimed = max(now, 1)
--- a/internal/core/fresh/keeper_test.go
+++ b/internal/core/fresh/keeper_test.go
@@ -22,83 +22,89 @@
 // TestStep checks from whom an instance learns next after what has happened.
 func TestStep(t *testing.T) {
 	cases := map[string]struct {
-		play func(*fresh.Keeper)
+		play func(*fresh.Scheduler)
 		want fresh.Step
 		wait time.Duration
 	}{
-		"at the start": {play: func(*fresh.Keeper) {}, want: fresh.StepStore},
+		"at the start": {play: func(*fresh.Scheduler) {}, want: fresh.StepReadStore},
 		"the store does not answer at the start": {
-			play: func(k *fresh.Keeper) { k.StoreRead(0, 0, model.ReaderRecord{}, false) },
-			want: fresh.StepStore, wait: 200 * time.Millisecond,
+			play: func(k *fresh.Scheduler) { k.FinishStoreRead(0, 0, model.ReaderRecord{}, false) },
+			want: fresh.StepReadStore, wait: 200 * time.Millisecond,
 		},
 		"nobody reads for the domain": {
-			play: func(k *fresh.Keeper) { k.StoreRead(0, 0, empty, true) },
-			want: fresh.StepClaim,
+			play: func(k *fresh.Scheduler) { k.FinishStoreRead(0, 0, empty, true) },
+			want: fresh.StepClaimRole,
 		},
 		"this instance reads for the domain": {
-			play: func(k *fresh.Keeper) { k.StoreRead(0, 0, mine, true) },
-			want: fresh.StepStore, wait: time.Second,
+			play: func(k *fresh.Scheduler) { k.FinishStoreRead(0, 0, mine, true) },
+			want: fresh.StepReadStore, wait: time.Second,
 		},
 		"another one reads for the domain": {
-			play: func(k *fresh.Keeper) { k.StoreRead(0, 0, theirs, true); k.ReaderTold(0, 0, true) },
-			want: fresh.StepReader,
+			play: func(k *fresh.Scheduler) { k.FinishStoreRead(0, 0, theirs, true); k.FinishReaderPoll(0, 0, true) },
+			want: fresh.StepPollReader,
 		},
 		"the reader does not answer": {
-			play: func(k *fresh.Keeper) { k.StoreRead(0, 0, theirs, true); k.ReaderTold(0, 0, false) },
-			want: fresh.StepStore,
+			play: func(k *fresh.Scheduler) { k.FinishStoreRead(0, 0, theirs, true); k.FinishReaderPoll(0, 0, false) },
+			want: fresh.StepReadStore,
 		},
 		"the reader has lost the store": {
-			play: func(k *fresh.Keeper) { k.StoreRead(0, 0, theirs, true); k.ReaderTold(0, 2100*time.Millisecond, true) },
-			want: fresh.StepStore,
+			play: func(k *fresh.Scheduler) {
+				k.FinishStoreRead(0, 0, theirs, true)
+				k.FinishReaderPoll(0, 2100*time.Millisecond, true)
+			},
+			want: fresh.StepReadStore,
 		},
 		"the reader is silent and still holds its seat": {
-			play: func(k *fresh.Keeper) {
-				k.StoreRead(0, 0, theirs, true)
-				k.ReaderTold(0, 0, false)
-				k.StoreRead(0, 0, theirs, true)
+			play: func(k *fresh.Scheduler) {
+				k.FinishStoreRead(0, 0, theirs, true)
+				k.FinishReaderPoll(0, 0, false)
+				k.FinishStoreRead(0, 0, theirs, true)
 			},
-			want: fresh.StepClaim,
+			want: fresh.StepClaimRole,
 		},
 		"the reader is silent and another took its seat": {
-			play: func(k *fresh.Keeper) {
+			play: func(k *fresh.Scheduler) {
 				next := theirs
 				next.Holder, next.Revision = "c", 6
-				k.StoreRead(0, 0, theirs, true)
-				k.ReaderTold(0, 0, false)
-				k.StoreRead(0, 0, next, true)
-				k.ReaderTold(0, 0, true)
+				k.FinishStoreRead(0, 0, theirs, true)
+				k.FinishReaderPoll(0, 0, false)
+				k.FinishStoreRead(0, 0, next, true)
+				k.FinishReaderPoll(0, 0, true)
 			},
-			want: fresh.StepReader,
+			want: fresh.StepPollReader,
 		},
 		"another was faster to claim": {
-			play: func(k *fresh.Keeper) { k.StoreRead(0, 0, empty, true); k.Claimed(0, theirs, true) },
-			want: fresh.StepReader,
+			play: func(k *fresh.Scheduler) { k.FinishStoreRead(0, 0, empty, true); k.FinishClaim(0, theirs, true) },
+			want: fresh.StepPollReader,
 		},
 		"a claim was not answered": {
-			play: func(k *fresh.Keeper) { k.StoreRead(0, 0, empty, true); k.Claimed(0, model.ReaderRecord{}, false) },
-			want: fresh.StepStore, wait: 200 * time.Millisecond,
+			play: func(k *fresh.Scheduler) {
+				k.FinishStoreRead(0, 0, empty, true)
+				k.FinishClaim(0, model.ReaderRecord{}, false)
+			},
+			want: fresh.StepReadStore, wait: 200 * time.Millisecond,
 		},
 		"this instance lost its seat": {
-			play: func(k *fresh.Keeper) {
-				k.StoreRead(0, 0, mine, true)
-				k.StoreRead(0, 0, theirs, true)
-				k.ReaderTold(0, 0, true)
+			play: func(k *fresh.Scheduler) {
+				k.FinishStoreRead(0, 0, mine, true)
+				k.FinishStoreRead(0, 0, theirs, true)
+				k.FinishReaderPoll(0, 0, true)
 			},
-			want: fresh.StepReader,
+			want: fresh.StepPollReader,
 		},
 		"beyond a cut, without store and with an outdated reader": {
-			play: func(k *fresh.Keeper) {
-				k.StoreRead(0, 0, theirs, true)
-				k.ReaderTold(0, 3*time.Second, true)
-				k.StoreRead(0, 0, model.ReaderRecord{}, false)
+			play: func(k *fresh.Scheduler) {
+				k.FinishStoreRead(0, 0, theirs, true)
+				k.FinishReaderPoll(0, 3*time.Second, true)
+				k.FinishStoreRead(0, 0, model.ReaderRecord{}, false)
 			},
-			want: fresh.StepStore, wait: 200 * time.Millisecond,
+			want: fresh.StepReadStore, wait: 200 * time.Millisecond,
 		},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			k := fresh.NewKeeper(fresh.KeeperConfig{Self: "a", Bound: bound, Link: 1000})
+			k := fresh.NewScheduler(fresh.SchedulerConfig{Self: "a", MaxStaleness: bound, LinkMbps: 1000})
 			tc.play(k)
 			step, wait := k.Next(0)
 			is.Equal(step, tc.want)
@@ -121,7 +127,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			const tick = 10 * time.Millisecond
-			k := fresh.NewKeeper(fresh.KeeperConfig{Self: "a", Bound: bound, Link: 1000})
+			k := fresh.NewScheduler(fresh.SchedulerConfig{Self: "a", MaxStaleness: bound, LinkMbps: 1000})
 			confirmed, told := model.Instant(0), model.Instant(0)
 			worst := time.Duration(0)
 			seat := theirs
@@ -142,20 +148,20 @@
 					continue
 				}
 				switch step {
-				case fresh.StepStore:
-					k.StoreRead(now, now, seat, tc.store(now))
+				case fresh.StepReadStore:
+					k.FinishStoreRead(now, now, seat, tc.store(now))
 					confirmed = now
-				case fresh.StepReader:
+				case fresh.StepPollReader:
 					if told > confirmed {
 						confirmed = told
-						k.ReaderTold(now, now.Sub(told), true)
-					} else if now.Sub(confirmed) > k.ReaderWait() {
-						k.ReaderTold(now, 0, false)
+						k.FinishReaderPoll(now, now.Sub(told), true)
+					} else if now.Sub(confirmed) > k.ReaderTimeout() {
+						k.FinishReaderPoll(now, 0, false)
 					}
-				case fresh.StepClaim:
+				case fresh.StepClaimRole:
 					seat = mine
 					seat.Revision = 9
-					k.Claimed(now, seat, true)
+					k.FinishClaim(now, seat, true)
 				}
 			}
 			is.True(worst <= bound*2/3)
@@ -176,16 +182,16 @@
 // TestPace checks the rhythm of reads and the patience with a store that is slow.
 func TestPace(t *testing.T) {
 	is := is.New(t)
-	p := fresh.Pace{Bound: bound}
-	is.Equal(p.Done(true, 100*time.Millisecond), 900*time.Millisecond)
-	is.Equal(p.Done(true, 2*time.Second), time.Duration(0))
+	p := fresh.Pacer{MaxStaleness: bound}
+	is.Equal(p.FinishRead(true, 100*time.Millisecond), 900*time.Millisecond)
+	is.Equal(p.FinishRead(true, 2*time.Second), time.Duration(0))
 	var patience []time.Duration
 	for range 4 {
 		patience = append(patience, p.Timeout())
-		is.Equal(p.Done(false, time.Second), 200*time.Millisecond)
+		is.Equal(p.FinishRead(false, time.Second), 200*time.Millisecond)
 	}
 	is.Equal(patience, []time.Duration{600 * time.Millisecond, 1200 * time.Millisecond, 2400 * time.Millisecond, 2400 * time.Millisecond})
-	p.Done(true, 0)
+	p.FinishRead(true, 0)
 	is.Equal(p.Timeout(), 600*time.Millisecond)
 }
 
@@ -204,24 +210,24 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			k := fresh.NewKeeper(fresh.KeeperConfig{Self: "a", Bound: bound, Link: tc.link})
+			k := fresh.NewScheduler(fresh.SchedulerConfig{Self: "a", MaxStaleness: bound, LinkMbps: tc.link})
 			now := model.Instant(time.Minute)
-			k.StoreRead(now, now, empty, true)
+			k.FinishStoreRead(now, now, empty, true)
 			step, wait := k.Next(now)
 			if tc.want == 0 {
-				is.Equal(step, fresh.StepClaim)
+				is.Equal(step, fresh.StepClaimRole)
 				return
 			}
-			is.Equal(step, fresh.StepStore)
+			is.Equal(step, fresh.StepReadStore)
 			is.True(wait > tc.want-time.Millisecond && wait < tc.want+time.Millisecond)
 			now = now.Add(wait)
-			k.StoreRead(now, now, theirs, true)
+			k.FinishStoreRead(now, now, theirs, true)
 			step, _ = k.Next(now.Add(time.Second))
-			is.Equal(step, fresh.StepReader)
-			k.StoreRead(now, now, empty, true)
+			is.Equal(step, fresh.StepPollReader)
+			k.FinishStoreRead(now, now, empty, true)
 			now = now.Add(time.Second)
 			step, _ = k.Next(now)
-			is.Equal(step, fresh.StepClaim)
+			is.Equal(step, fresh.StepClaimRole)
 		})
 	}
 }
--- a/internal/core/fresh/trust.go
+++ b/internal/core/fresh/trust.go
@@ -9,11 +9,11 @@
 // gapSlack is how much longer than the rhythm of reads two confirmations may lie apart: a read that takes longer has met a store that was away.
 const gapSlack = 300 * time.Millisecond
 
-// Trust decides whether a missing entry proves anything: entries lapse while the store is away, and whoever did not hear
+// OutageTracker decides whether a missing entry proves anything: entries lapse while the store is away, and whoever did not hear
 // from it for a while, by whichever way, cannot tell.
-type Trust struct {
-	// Gap is the longest time between two confirmations without an outage.
-	Gap time.Duration
+type OutageTracker struct {
+	// MaxGap is the longest time between two confirmations without an outage.
+	MaxGap time.Duration
 	// Grace is how long after an outage entries may come back.
 	Grace time.Duration
 	// confirmed is when the store last confirmed what is known; zero before the first time.
@@ -22,23 +22,23 @@
 	unsure model.Instant
 }
 
-// NewTrust returns the trust of an instance whose changes must be in force within the bound.
-func NewTrust(bound, grace time.Duration) *Trust {
-	t := &Trust{Grace: grace}
-	t.SetBound(bound)
+// NewOutageTracker returns the trust of an instance whose changes must be in force within the bound.
+func NewOutageTracker(bound, grace time.Duration) *OutageTracker {
+	t := &OutageTracker{Grace: grace}
+	t.SetMaxStaleness(bound)
 	return t
 }
 
-// SetBound replaces the time in which changes must be in force.
-func (t *Trust) SetBound(bound time.Duration) {
-	p := Pace{Bound: bound}
-	t.Gap = p.Interval() + gapSlack
+// SetMaxStaleness replaces the time in which changes must be in force.
+func (t *OutageTracker) SetMaxStaleness(bound time.Duration) {
+	p := Pacer{MaxStaleness: bound}
+	t.MaxGap = p.Interval() + gapSlack
 }
 
 // Confirm notes that the store confirmed at the instant what is known; told is what another instance says of its own
 // doubt. It returns for how much longer a missing entry proves nothing.
-func (t *Trust) Confirm(now, at model.Instant, told time.Duration) time.Duration {
-	if t.confirmed == 0 || at.Sub(t.confirmed) > t.Gap {
+func (t *OutageTracker) Confirm(now, at model.Instant, told time.Duration) time.Duration {
+	if t.confirmed == 0 || at.Sub(t.confirmed) > t.MaxGap {
 		t.unsure = max(t.unsure, now.Add(t.Grace))
 	}
 	t.confirmed = max(t.confirmed, at, 1)
--- a/internal/core/fresh/trust_test.go
+++ b/internal/core/fresh/trust_test.go
@@ -30,7 +30,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			trust := fresh.NewTrust(bound, grace)
+			trust := fresh.NewOutageTracker(bound, grace)
 			var unsure time.Duration
 			for _, s := range tc.confirmed {
 				now := model.Instant(s * float64(time.Second))
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -71,18 +71,18 @@
 	l.cfg.Detection = d
 }
 
-// Period returns the time between two probes.
-func (l *List) Period() time.Duration {
+// ProbeInterval returns the time between two probes.
+func (l *List) ProbeInterval() time.Duration {
 	return l.cfg.Detection / probesPerDetection
 }
 
-// Patience returns how long one probe waits for its answer.
-func (l *List) Patience() time.Duration {
-	return l.Period() / 2
+// ProbeTimeout returns how long one probe waits for its answer.
+func (l *List) ProbeTimeout() time.Duration {
+	return l.ProbeInterval() / 2
 }
 
-// Changes returns a number that grows with each change of any member.
-func (l *List) Changes() uint64 {
+// ChangeCount returns a number that grows with each change of any member.
+func (l *List) ChangeCount() uint64 {
 	return l.changes
 }
 
@@ -170,8 +170,8 @@
 	return model.Member{}, false
 }
 
-// Helpers returns up to n live instances that may probe another.
-func (l *List) Helpers(n int, not model.InstanceID) []model.Member {
+// RandomLive returns up to n live instances that may probe another.
+func (l *List) RandomLive(n int, not model.InstanceID) []model.Member {
 	var live []model.Member
 	for _, p := range l.peers {
 		if p.ID != not && (p.State == model.MemberAlive || p.State == model.MemberLeaving) {
@@ -188,15 +188,15 @@
 	return live[:min(n, len(live))]
 }
 
-// Heard takes note that the instance itself has just answered.
-func (l *List) Heard(now model.Instant, id model.InstanceID) {
+// RecordContact takes note that the instance itself has just answered.
+func (l *List) RecordContact(now model.Instant, id model.InstanceID) {
 	if p := l.peers[id]; p != nil {
 		p.heard = now
 	}
 }
 
-// Silent takes note that neither the instance nor any helper for it answered.
-func (l *List) Silent(now model.Instant, id model.InstanceID) {
+// Suspect takes note that neither the instance nor any helper for it answered.
+func (l *List) Suspect(now model.Instant, id model.InstanceID) {
 	p := l.peers[id]
 	if p != nil && (p.State == model.MemberAlive || p.State == model.MemberLeaving) {
 		l.set(now, p, model.MemberSuspect)
@@ -220,8 +220,8 @@
 	l.news[id] = 0
 }
 
-// Learn merges what another instance says of members.
-func (l *List) Learn(now model.Instant, members []model.Member) {
+// Merge merges what another instance says of members.
+func (l *List) Merge(now model.Instant, members []model.Member) {
 	for _, m := range members {
 		if m.ID == l.self.ID {
 			l.contradict(m)
@@ -260,8 +260,8 @@
 	return a.State > b.State
 }
 
-// News returns up to n members whose changes are still to be passed on, the least passed on first.
-func (l *List) News(n int) []model.Member {
+// NextUpdates returns up to n members whose changes are still to be passed on, the least passed on first.
+func (l *List) NextUpdates(n int) []model.Member {
 	ids := make([]model.InstanceID, 0, len(l.news))
 	for id := range l.news {
 		ids = append(ids, id)
@@ -294,8 +294,8 @@
 	return l.peers[id].Member
 }
 
-// Quiet reports whether no instance of the domain has been heard of as live.
-func (l *List) Quiet(domain model.DomainID) bool {
+// DomainDown reports whether no instance of the domain has been heard of as live.
+func (l *List) DomainDown(domain model.DomainID) bool {
 	if l.self.Domain == domain {
 		return false
 	}
--- a/internal/core/member/member_test.go
+++ b/internal/core/member/member_test.go
@@ -41,7 +41,7 @@
 		}))
 	}
 	for _, l := range g.lists[1:] {
-		l.Learn(0, []model.Member{g.lists[0].Self()})
+		l.Merge(0, []model.Member{g.lists[0].Self()})
 	}
 	return g
 }
@@ -61,17 +61,17 @@
 		return false
 	}
 	from, to := g.lists[a], g.lists[b]
-	to.Learn(g.now, append([]model.Member{from.Self()}, from.News(12)...))
-	reply := append([]model.Member{to.Self()}, to.News(12)...)
+	to.Merge(g.now, append([]model.Member{from.Self()}, from.NextUpdates(12)...))
+	reply := append([]model.Member{to.Self()}, to.NextUpdates(12)...)
 	if known, ok := to.Find(from.Self().ID); ok {
 		reply = append(reply, known)
 	}
-	from.Learn(g.now, reply)
+	from.Merge(g.now, reply)
 	return true
 }
 
 func (g *group) step() {
-	g.now = g.now.Add(g.lists[0].Period())
+	g.now = g.now.Add(g.lists[0].ProbeInterval())
 	for n, l := range g.lists {
 		if g.dead[n] {
 			continue
@@ -81,12 +81,12 @@
 			continue
 		}
 		helped := false
-		for _, h := range l.Helpers(2, target.ID) {
+		for _, h := range l.RandomLive(2, target.ID) {
 			k := g.index(h)
 			helped = helped || (g.exchange(n, k) && g.exchange(k, g.index(target)))
 		}
 		if !helped {
-			l.Silent(g.now, target.ID)
+			l.Suspect(g.now, target.ID)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 			self := g.lists[5].Self()
 			self.Boot = 2
 			g.lists[5] = member.New(member.Config{Self: self, Detection: detection})
-			g.lists[5].Learn(g.now, []model.Member{g.lists[0].Self()})
+			g.lists[5].Merge(g.now, []model.Member{g.lists[0].Self()})
 			g.dead[5] = false
 			g.run(3 * detection)
 			is.Equal(g.count(5, model.MemberAlive), size-1)
--- a/internal/peer/mesh/mesh.go
+++ b/internal/peer/mesh/mesh.go
@@ -126,7 +126,7 @@
 func (m *Mesh) Quiet(domain model.DomainID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.list.Quiet(domain)
+	return m.list.DomainDown(domain)
 }
 
 // Leave tells the peers that this instance stops.
--- a/internal/peer/mesh/probe.go
+++ b/internal/peer/mesh/probe.go
@@ -24,7 +24,7 @@
 	for {
 		m.mu.Lock()
 		target, ok := m.list.Tick(m.now())
-		period := m.list.Period()
+		period := m.list.ProbeInterval()
 		m.mu.Unlock()
 		m.report()
 		if ok {
@@ -45,8 +45,8 @@
 	}
 	m.cfg.Counts.Counter("mesh.ping_lost").Inc(1)
 	m.mu.Lock()
-	helpers := m.list.Helpers(helperCount, target.ID)
-	patience := 2 * m.list.Patience()
+	helpers := m.list.RandomLive(helperCount, target.ID)
+	patience := 2 * m.list.ProbeTimeout()
 	m.mu.Unlock()
 	answered := make(chan bool, len(helpers))
 	for _, h := range helpers {
@@ -62,7 +62,7 @@
 		}
 	}
 	m.mu.Lock()
-	m.list.Silent(m.now(), target.ID)
+	m.list.Suspect(m.now(), target.ID)
 	m.mu.Unlock()
 	m.report()
 }
@@ -71,16 +71,16 @@
 func (m *Mesh) ping(ctx context.Context, target model.Member) error {
 	args := PingArgs{Versions: m.versions(), Loads: loadsToWire(m.cfg.Host.Loads())}
 	m.mu.Lock()
-	args.From, args.News = toWire(m.list.Self()), toWireAll(m.list.News(newsPerCall))
-	patience := m.list.Patience()
+	args.From, args.News = toWire(m.list.Self()), toWireAll(m.list.NextUpdates(newsPerCall))
+	patience := m.list.ProbeTimeout()
 	m.mu.Unlock()
 	var reply PingReply
 	if err := m.links.Call(ctx, target.Control, serviceName+".Ping", args, &reply, patience); err != nil {
 		return err
 	}
 	m.mu.Lock()
-	m.list.Heard(m.now(), target.ID)
-	m.list.Learn(m.now(), fromWireAll(reply.News))
+	m.list.RecordContact(m.now(), target.ID)
+	m.list.Merge(m.now(), fromWireAll(reply.News))
 	m.mu.Unlock()
 	m.report()
 	m.cfg.Host.HearLoads(target.ID, loadsFromWire(reply.Loads))
@@ -93,7 +93,7 @@
 	m.reporting.Lock()
 	defer m.reporting.Unlock()
 	m.mu.Lock()
-	changes := m.list.Changes()
+	changes := m.list.ChangeCount()
 	changed := changes != m.told
 	m.told = changes
 	members := m.list.Members()
--- a/internal/peer/mesh/pull.go
+++ b/internal/peer/mesh/pull.go
@@ -64,7 +64,7 @@
 			return nil
 		}
 		m.mu.Lock()
-		targets := m.list.Helpers(pushFan, "")
+		targets := m.list.RandomLive(pushFan, "")
 		m.mu.Unlock()
 		for _, target := range targets {
 			go func() {
--- a/internal/run/relay/decide.go
+++ b/internal/run/relay/decide.go
@@ -87,13 +87,13 @@
 		r.stalled.Store(int64(now))
 	}
 	if late > share.CallMargin {
-		r.engine.SetPlace(model.Ordinal{}, 0)
+		r.engine.SetOrdinal(model.Ordinal{}, 0)
 	}
 }
 
 // untilTick returns the time to the engine's next handshake timer, or to the next regular tick.
 func (r *Relay) untilTick() time.Duration {
-	at, ok := r.engine.Next()
+	at, ok := r.engine.NextDeadline()
 	if !ok {
 		return tickInterval
 	}
@@ -121,10 +121,10 @@
 			r.datagram = r.cfg.Codec.AppendForward(r.datagram[:0], a.Raw, a.Upstream.Number, a.Upstream.Tag)
 			r.send(a.Upstream.Address)
 		case model.VerbReset:
-			r.datagram = r.cfg.Codec.AppendReset(r.datagram[:0], a.Flow, a.Position)
+			r.datagram = r.cfg.Codec.AppendReset(r.datagram[:0], a.Flow, a.Seq)
 			r.send(netip.AddrPortFrom(a.Flow.Caller.Addr(), r.cfg.Packets.Port()))
 		case model.VerbProbe:
-			r.probe(ctx, a.Upstream, a.Wait)
+			r.probe(ctx, a.Upstream, a.Timeout)
 		default:
 			if a.Reason == model.ReasonTagUnknown {
 				r.askEarly()
--- a/internal/run/relay/doubt.go
+++ b/internal/run/relay/doubt.go
@@ -8,7 +8,7 @@
 
 // collectDoubts gives what the engine found silent to the duty that tells others; it is called by the decide duty and never waits.
 func (r *Relay) collectDoubts() {
-	if d := r.engine.Doubts(); !d.Empty() && !r.doubts.Offer(d) {
+	if d := r.engine.TakeSuspicion(); !d.Empty() && !r.doubts.Offer(d) {
 		r.counts.Counter("share.doubts_dropped").Inc(1)
 	}
 }
@@ -37,5 +37,5 @@
 func (r *Relay) hearDoubt(d model.Suspicion) {
 	r.counts.Counter("share.doubts_heard").Inc(1)
 	ctx := r.work
-	r.do(ctx, func(now model.Instant) { r.act(ctx, now, r.engine.HearDoubt(now, d)) })
+	r.do(ctx, func(now model.Instant) { r.act(ctx, now, r.engine.HandleSuspicion(now, d)) })
 }
--- a/internal/run/relay/follow.go
+++ b/internal/run/relay/follow.go
@@ -34,24 +34,24 @@
 	f := &follower{Relay: r}
 	for ctx.Err() == nil {
 		f.takeUp(ctx)
-		seat := k.Seat()
+		seat := k.ReaderRecord()
 		r.seat.Store(&seat)
 		step, wait := k.Next(r.now())
 		r.pause(ctx, wait)
 		if ctx.Err() != nil {
 			return nil
 		}
-		reading := k.Reading()
+		reading := k.IsReader()
 		switch step {
-		case fresh.StepReader:
+		case fresh.StepPollReader:
 			f.askReader(ctx)
-		case fresh.StepClaim:
+		case fresh.StepClaimRole:
 			f.claim(ctx)
 		default:
 			f.readStore(ctx)
 		}
-		if k.Reading() != reading {
-			r.part("platform").With("reading", k.Reading()).With("holder", k.Seat().Holder).Info("Who reads the platform's store for the failure domain has changed.")
+		if k.IsReader() != reading {
+			r.part("platform").With("reading", k.IsReader()).With("holder", k.ReaderRecord().Holder).Info("Who reads the platform's store for the failure domain has changed.")
 		}
 	}
 	return nil
@@ -92,14 +92,14 @@
 	}
 	f.noteStore(err)
 	if err != nil {
-		f.keeper.StoreRead(now, start, model.ReaderRecord{}, false)
+		f.keeper.FinishStoreRead(now, start, model.ReaderRecord{}, false)
 		return
 	}
 	next.Age, next.GraceLeft = now.Sub(start), 0
 	f.learn(ctx, next)
-	f.keeper.StoreRead(now, start, f.ownSeat(seats), true)
-	f.places.confirm(now, start, f.keeper.Reading())
-	if f.keeper.Reading() {
+	f.keeper.FinishStoreRead(now, start, f.ownSeat(seats), true)
+	f.places.confirm(now, start, f.keeper.IsReader())
+	if f.keeper.IsReader() {
 		f.take(ctx, f.places.Place(f.cfg.Instance))
 	}
 }
@@ -108,7 +108,7 @@
 func (f *follower) take(ctx context.Context, p model.Ordinal) {
 	until := f.now().Add(f.places.life())
 	f.place.Store(&p)
-	f.do(ctx, func(model.Instant) { f.engine.SetPlace(p, until) })
+	f.do(ctx, func(model.Instant) { f.engine.SetOrdinal(p, until) })
 }
 
 // patient returns a context that ends when the store has sent nothing for the time, or after readLimit.
@@ -151,8 +151,8 @@
 
 // askReader waits for the next word of the instance that reads for the failure domain.
 func (f *follower) askReader(ctx context.Context) {
-	seat := f.keeper.Seat()
-	k, err := f.ask(ctx, seat.Control, f.keeper.ReaderWait())
+	seat := f.keeper.ReaderRecord()
+	k, err := f.ask(ctx, seat.Control, f.keeper.ReaderTimeout())
 	if ctx.Err() != nil {
 		return
 	}
@@ -160,7 +160,7 @@
 		f.counts.Counter("platform.reader_failed").Inc(1)
 		f.part("platform").With("holder", seat.Holder).With("error", err).Warn("The instance that reads for the failure domain does not answer.")
 	}
-	f.keeper.ReaderTold(f.now(), k.Age, err == nil)
+	f.keeper.FinishReaderPoll(f.now(), k.Age, err == nil)
 	if err == nil {
 		f.take(ctx, k.Ordinal)
 	}
@@ -178,7 +178,7 @@
 
 // claim tries to become the instance that reads for the failure domain.
 func (f *follower) claim(ctx context.Context) {
-	seat := f.keeper.Seat()
+	seat := f.keeper.ReaderRecord()
 	seat.Domain, seat.Holder, seat.Control = f.cfg.Domain, f.cfg.Instance, f.cfg.Control
 	work, cancel := context.WithTimeout(ctx, f.keeper.StoreTimeout())
 	defer cancel()
@@ -189,7 +189,7 @@
 	} else {
 		f.counts.Counter("platform.claims").Inc(1)
 	}
-	f.keeper.Claimed(f.now(), now, err == nil)
+	f.keeper.FinishClaim(f.now(), now, err == nil)
 }
 
 // askSeeds is the duty that asks other instances at the start if the store does not answer.
--- a/internal/run/relay/limits.go
+++ b/internal/run/relay/limits.go
@@ -51,12 +51,12 @@
 	if l == nil {
 		return
 	}
-	f.keeper.SetLink(l.LinkMbps)
-	if !f.keeper.SetBound(l.ChangeBy) {
+	f.keeper.SetLinkMbps(l.LinkMbps)
+	if !f.keeper.SetMaxStaleness(l.ChangeBy) {
 		return
 	}
 	f.knownMu.Lock()
-	f.trust.SetBound(l.ChangeBy)
+	f.trust.SetMaxStaleness(l.ChangeBy)
 	f.knownMu.Unlock()
 	f.places.reset(f.keeper)
 	f.take(ctx, model.Ordinal{})
--- a/internal/run/relay/places.go
+++ b/internal/run/relay/places.go
@@ -21,20 +21,20 @@
 	believed time.Duration
 }
 
-func newPlaces(k *fresh.Keeper, now func() model.Instant) *places {
+func newPlaces(k *fresh.Scheduler, now func() model.Instant) *places {
 	p := &places{now: now}
 	p.reset(k)
 	return p
 }
 
 // reset begins anew with the times of the keeper.
-func (p *places) reset(k *fresh.Keeper) {
+func (p *places) reset(k *fresh.Scheduler) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	// An instance that hears of its reader in time is told once in each wait.
-	p.believed = k.ReaderWait()
+	p.believed = k.ReaderTimeout()
 	// A reply may be on its way for as long as a call may take.
-	kept := p.believed + k.ReaderWait() + share.CallMargin
+	kept := p.believed + k.ReaderTimeout() + share.CallMargin
 	p.book = allot.NewAllocator(allot.AllocatorConfig{OrdinalTTL: kept, ConfirmationTTL: k.MaxAge()})
 }
 
--- a/internal/run/relay/probe.go
+++ b/internal/run/relay/probe.go
@@ -30,6 +30,6 @@
 		default:
 			outcome = health.OutcomeFailed
 		}
-		r.do(ctx, func(now model.Instant) { r.act(ctx, now, r.engine.Probed(now, u, outcome)) })
+		r.do(ctx, func(now model.Instant) { r.act(ctx, now, r.engine.FinishProbe(now, u, outcome)) })
 	}()
 }
--- a/internal/run/relay/read.go
+++ b/internal/run/relay/read.go
@@ -70,7 +70,7 @@
 	for _, s := range seats.Items {
 		newest = max(newest, s.Revision)
 	}
-	if !fresh.Explained(seats.Revision, newest, upstreams.Revision, routes.Revision, out.Revision) {
+	if !fresh.CaughtUp(seats.Revision, newest, upstreams.Revision, routes.Revision, out.Revision) {
 		return k, false
 	}
 	k = have
--- a/internal/run/relay/record.go
+++ b/internal/run/relay/record.go
@@ -47,9 +47,9 @@
 		return kindReset
 	case a.Verb == model.VerbDrop:
 		return kindDrop
-	case a.Offered == 1:
+	case a.Attempt == 1:
 		return kindPlace
-	case a.Offered > 1:
+	case a.Attempt > 1:
 		return kindResend
 	default:
 		return ""
@@ -72,8 +72,8 @@
 	if a.Tag != 0 {
 		fields["tag"] = a.Tag
 	}
-	if a.Offered > 0 {
-		fields["choices"], fields["offered"] = a.Choices, a.Offered
+	if a.Attempt > 0 {
+		fields["choices"], fields["offered"] = a.Candidates, a.Attempt
 	}
 	if u := a.Upstream; u != nil {
 		addUpstream(fields, u)
@@ -110,18 +110,18 @@
 // report logs what the engine has come to believe.
 func (r *Relay) report(now model.Instant) {
 	log := r.part("health")
-	for _, n := range r.engine.Notes() {
+	for _, n := range r.engine.TakeEvents() {
 		if !r.recorder.beliefs.Admit(time.Duration(now), n.Kind.String()) {
 			continue
 		}
 		switch n.Kind {
-		case direct.NoteBarred:
+		case direct.EventUpstreamEjected:
 			withUpstream(log, n.Upstream).With("misses", n.Upstream.Health.Timeouts()).Warn("An upstream does not answer; new flows go elsewhere.")
-		case direct.NoteReachable:
-			withUpstream(log, n.Upstream).With("silentMs", n.Silent.Milliseconds()).Info("An upstream answers again.")
-		case direct.NoteDomainCut:
+		case direct.EventUpstreamReachable:
+			withUpstream(log, n.Upstream).With("silentMs", n.UnansweredFor.Milliseconds()).Info("An upstream answers again.")
+		case direct.EventDomainPartitioned:
 			log.With("domain", n.Domain).Warn("A failure domain does not answer; new flows go elsewhere.")
-		case direct.NoteDomainReachable:
+		case direct.EventDomainReachable:
 			log.With("domain", n.Domain).Info("A failure domain answers again.")
 		}
 	}
@@ -139,11 +139,11 @@
 
 // measure counts what the engine measured.
 func (r *Relay) measure() {
-	for _, s := range r.engine.Samples() {
+	for _, s := range r.engine.TakeSamples() {
 		if s.Kind == direct.SampleHandshake {
-			r.handshakes.RecordDuration(s.Took)
+			r.handshakes.RecordDuration(s.Duration)
 		} else {
-			r.answers.RecordDuration(s.Took)
+			r.answers.RecordDuration(s.Duration)
 		}
 	}
 }
@@ -162,7 +162,7 @@
 		r.counts.Gauge("upstreams." + s.String()).Update(float64(states[s]))
 	}
 	r.counts.Gauge("upstreams.barred").Update(float64(barred))
-	r.counts.Gauge("flows").Update(float64(r.engine.Flows()))
+	r.counts.Gauge("flows").Update(float64(r.engine.FlowCount()))
 	r.counts.Gauge("knowledge.age_seconds").Update(now.Sub(model.Instant(r.confirmed.Load())).Seconds())
 	r.counts.Gauge("knowledge.revision").Update(float64(r.revision.Load()))
 }
--- a/internal/run/relay/record_test.go
+++ b/internal/run/relay/record_test.go
@@ -24,7 +24,7 @@
 // BenchmarkRecord logs a placement that its budget lets through, and one that it leaves out.
 func BenchmarkRecord(b *testing.B) {
 	action := direct.Action{
-		Verb: model.VerbForward, Offered: 1, Choices: 14, Upstream: &roster.Upstream{State: roster.StateListed, Tag: 7},
+		Verb: model.VerbForward, Attempt: 1, Candidates: 14, Upstream: &roster.Upstream{State: roster.StateListed, Tag: 7},
 		Flow: model.FlowKey{Caller: netip.MustParseAddrPort("100.64.0.7:40001"), Service: netip.MustParseAddrPort("198.18.0.1:443")},
 	}
 	for name, limit := range map[string]int{"written": 1 << 40, "left out": 0} {
--- a/internal/run/relay/relay.go
+++ b/internal/run/relay/relay.go
@@ -107,9 +107,9 @@
 	// known is what the platform last told and trust what that proves; both are guarded by knownMu.
 	knownMu sync.Mutex
 	known   model.Snapshot
-	trust   *fresh.Trust
+	trust   *fresh.OutageTracker
 	// keeper is used by the follow duty only.
-	keeper *fresh.Keeper
+	keeper *fresh.Scheduler
 	// limits are those in force, and changed holds new ones that the follow duty has yet to take up.
 	limits, changed atomic.Pointer[Limits]
 	places          *places
@@ -172,8 +172,8 @@
 		log:      log,
 		counts:   count.New(),
 		start:    start,
-		trust:    fresh.NewTrust(cfg.ChangeBy, roster.OutageGrace),
-		keeper:   fresh.NewKeeper(fresh.KeeperConfig{Self: cfg.Instance, Bound: cfg.ChangeBy, Link: cfg.LinkMbps}),
+		trust:    fresh.NewOutageTracker(cfg.ChangeBy, roster.OutageGrace),
+		keeper:   fresh.NewScheduler(fresh.SchedulerConfig{Self: cfg.Instance, MaxStaleness: cfg.ChangeBy, LinkMbps: cfg.LinkMbps}),
 		arrived:  ring.New[model.Segment](packetRing),
 		commands: ring.New[command](commandRing),
 		doubts:   ring.New[model.Suspicion](doubtRing),
--- a/internal/run/relay/serve.go
+++ b/internal/run/relay/serve.go
@@ -43,7 +43,7 @@
 func (r *Relay) getStatus(ctx context.Context, w http.ResponseWriter, req *http.Request) {
 	asked := make(chan status.RelayReport, 1)
 	r.do(ctx, func(now model.Instant) {
-		asked <- status.RelayReport{Flows: r.engine.Flows(), Upstreams: r.engine.View(now)}
+		asked <- status.RelayReport{Flows: r.engine.FlowCount(), Upstreams: r.engine.View(now)}
 	})
 	select {
 	case report := <-asked:
