--- a/internal/oper/shell/relay.go
+++ b/internal/oper/shell/relay.go
@@ -74,19 +74,19 @@
 func (c *relayCommand) config(in *relayInstance) relay.Config {
 	s := &in.settings
 	cfg := relay.Config{
-		Limits:     limitsOf(s),
-		Instance:   s.Instance,
-		Domain:     s.Domain,
-		Packets:    s.Packets,
-		Ready:      s.Ready,
-		ReadyPath:  platform.ReadyPath,
-		Control:    s.Control,
-		Seats:      platform.NewSeats(in.client),
-		Codec:      platform.Codec{},
-		Upstreams:  platform.Upstreams(in.client),
-		Routes:     platform.Routes(in.client),
-		DomainsOut: platform.DomainsOut(in.client),
-		Silent:     in.client.Silent,
+		Limits:             limitsOf(s),
+		Instance:           s.Instance,
+		Domain:             s.Domain,
+		Packets:            s.Packets,
+		Ready:              s.Ready,
+		ReadyPath:          platform.ReadyPath,
+		Control:            s.Control,
+		ReaderRecords:      platform.NewSeats(in.client),
+		Codec:              platform.Codec{},
+		Upstreams:          platform.Upstreams(in.client),
+		Routes:             platform.Routes(in.client),
+		DomainsOut:         platform.DomainsOut(in.client),
+		SinceStoreResponse: in.client.Silent,
 	}
 	if c.metricsPort != 0 {
 		cfg.Metrics = netip.AddrPortFrom(s.Packets.Addr(), uint16(c.metricsPort))
@@ -96,14 +96,14 @@
 
 func limitsOf(s *platform.Settings) relay.Limits {
 	return relay.Limits{
-		Domains:    len(s.Domains),
-		Seeds:      s.Seeds,
-		ChangeBy:   min(s.Bounds.Drain, s.Bounds.Apply, s.Bounds.Evacuate),
-		StopWithin: s.Bounds.Stop,
-		LinkMbps:   s.LinkMbps,
-		FlowLife:   s.Bounds.FlowLife,
-		ColdFactor: s.Bounds.ColdFactor,
-		ColdSlack:  s.Bounds.ColdSlack,
+		Domains:      len(s.Domains),
+		Seeds:        s.Seeds,
+		MaxStaleness: min(s.Bounds.Drain, s.Bounds.Apply, s.Bounds.Evacuate),
+		StopWithin:   s.Bounds.Stop,
+		LinkMbps:     s.LinkMbps,
+		FlowLife:     s.Bounds.FlowLife,
+		ColdFactor:   s.Bounds.ColdFactor,
+		ColdSlack:    s.Bounds.ColdSlack,
 	}
 }
 
--- a/internal/peer/links/links.go
+++ b/internal/peer/links/links.go
@@ -23,8 +23,8 @@
 // ErrTimeout means that a peer did not answer in time.
 var ErrTimeout = eris.New("peer did not answer in time")
 
-// Links keeps a connection to each peer that was called lately.
-type Links struct {
+// Pool keeps a connection to each peer that was called lately.
+type Pool struct {
 	dialer  net.Dialer
 	in, out tally.Counter
 	// failed counts connections that could not be accepted.
@@ -36,8 +36,8 @@
 }
 
 // New returns links that call from the local address; counters begin with the name.
-func New(name string, local net.Addr, counts *count.Set) *Links {
-	l := &Links{
+func New(name string, local net.Addr, counts *count.Set) *Pool {
+	l := &Pool{
 		in:      counts.Counter(name + ".bytes_in"),
 		out:     counts.Counter(name + ".bytes_out"),
 		failed:  counts.Counter(name + ".accept_failed"),
@@ -51,7 +51,7 @@
 }
 
 // Call calls a method of the peer and gives up after the time.
-func (l *Links) Call(ctx context.Context, addr netip.AddrPort, method string, args, reply any, patience time.Duration) error {
+func (l *Pool) Call(ctx context.Context, addr netip.AddrPort, method string, args, reply any, patience time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	c, err := l.client(ctx, addr)
@@ -71,7 +71,7 @@
 	}
 }
 
-func (l *Links) client(ctx context.Context, addr netip.AddrPort) (*rpc.Client, error) {
+func (l *Pool) client(ctx context.Context, addr netip.AddrPort) (*rpc.Client, error) {
 	l.mu.Lock()
 	c := l.clients[addr]
 	l.mu.Unlock()
@@ -88,7 +88,7 @@
 		_ = conn.Close()
 		return other, nil
 	}
-	c = rpc.NewClient(l.Count(conn))
+	c = rpc.NewClient(l.CountBytes(conn))
 	if len(l.clients) >= linkLimit {
 		l.evict()
 	}
@@ -97,7 +97,7 @@
 }
 
 // evict closes any one connection.
-func (l *Links) evict() {
+func (l *Pool) evict() {
 	for addr, c := range l.clients {
 		delete(l.clients, addr)
 		_ = c.Close()
@@ -105,7 +105,7 @@
 	}
 }
 
-func (l *Links) drop(addr netip.AddrPort, c *rpc.Client) {
+func (l *Pool) drop(addr netip.AddrPort, c *rpc.Client) {
 	l.mu.Lock()
 	if l.clients[addr] == c {
 		delete(l.clients, addr)
@@ -115,7 +115,7 @@
 }
 
 // Close closes every connection.
-func (l *Links) Close() {
+func (l *Pool) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for addr, c := range l.clients {
@@ -124,8 +124,8 @@
 	}
 }
 
-// Count returns a connection whose bytes are counted.
-func (l *Links) Count(conn net.Conn) net.Conn {
+// CountBytes returns a connection whose bytes are counted.
+func (l *Pool) CountBytes(conn net.Conn) net.Conn {
 	return countedConn{Conn: conn, in: l.in, out: l.out}
 }
 
@@ -151,7 +151,7 @@
 const acceptPause = 10 * time.Millisecond
 
 // Serve answers calls that arrive at the listener until ctx ends; it then closes the listener and every connection.
-func (l *Links) Serve(ctx context.Context, listener net.Listener, srv *rpc.Server) error {
+func (l *Pool) Serve(ctx context.Context, listener net.Listener, srv *rpc.Server) error {
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
 	for {
@@ -164,7 +164,7 @@
 			time.Sleep(acceptPause)
 			continue
 		}
-		counted := l.Count(conn)
+		counted := l.CountBytes(conn)
 		context.AfterFunc(ctx, func() { _ = counted.Close() })
 		go srv.ServeConn(counted)
 	}
--- a/internal/peer/mesh/mesh.go
+++ b/internal/peer/mesh/mesh.go
@@ -43,14 +43,14 @@
 	Object(kind Kind) (model.Version, []byte)
 	// Offer takes an object that a peer has in force.
 	Offer(kind Kind, version model.Version, body []byte)
-	// Hear takes a peer's letter.
-	Hear(l engine.PeerUpdate)
+	// ApplyPeerUpdate takes a peer's letter.
+	ApplyPeerUpdate(l engine.PeerUpdate)
 	// Loads returns how busy this instance is.
 	Loads() []engine.Load
-	// HearLoads takes what a peer says of how busy it is.
-	HearLoads(from model.InstanceID, loads []engine.Load)
-	// Learn takes a peer's word of flows.
-	Learn(copies []engine.FlowAssignment)
+	// SetPeerLoads takes what a peer says of how busy it is.
+	SetPeerLoads(from model.InstanceID, loads []engine.Load)
+	// AddAssignments takes a peer's word of flows.
+	AddAssignments(copies []engine.FlowAssignment)
 	// MembersChanged takes the members after any change.
 	MembersChanged(members []model.Member)
 }
@@ -71,7 +71,7 @@
 // Mesh is this instance's part of the mesh.
 type Mesh struct {
 	cfg   Config
-	links *links.Links
+	links *links.Pool
 	pulls *ring.Ring[pull]
 	push  *ring.Ring[struct{}]
 
@@ -122,8 +122,8 @@
 	return m.list.Members()
 }
 
-// Quiet reports whether no instance of the domain is believed to live.
-func (m *Mesh) Quiet(domain model.DomainID) bool {
+// DomainDown reports whether no instance of the domain is believed to live.
+func (m *Mesh) DomainDown(domain model.DomainID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.list.DomainDown(domain)
@@ -137,13 +137,13 @@
 	m.Push()
 }
 
-// Tell sends a letter to a peer.
-func (m *Mesh) Tell(ctx context.Context, l engine.PeerUpdate) error {
+// SendPeerUpdate sends a letter to a peer.
+func (m *Mesh) SendPeerUpdate(ctx context.Context, l engine.PeerUpdate) error {
 	return m.callPeer(ctx, l.Peer, "Tell", letterToWire(l))
 }
 
-// Copy tells a peer where flows sit.
-func (m *Mesh) Copy(ctx context.Context, peer model.InstanceID, copies []engine.FlowAssignment) error {
+// SendAssignments tells a peer where flows sit.
+func (m *Mesh) SendAssignments(ctx context.Context, peer model.InstanceID, copies []engine.FlowAssignment) error {
 	return m.callPeer(ctx, peer, "Copy", copiesToWire(copies))
 }
 
--- a/internal/peer/mesh/probe.go
+++ b/internal/peer/mesh/probe.go
@@ -83,7 +83,7 @@
 	m.list.Merge(m.now(), fromWireAll(reply.News))
 	m.mu.Unlock()
 	m.report()
-	m.cfg.Host.HearLoads(target.ID, loadsFromWire(reply.Loads))
+	m.cfg.Host.SetPeerLoads(target.ID, loadsFromWire(reply.Loads))
 	m.compare(target, reply.Versions)
 	return nil
 }
--- a/internal/peer/mesh/serve.go
+++ b/internal/peer/mesh/serve.go
@@ -41,7 +41,7 @@
 	reply.News = toWireAll(append(m.list.NextUpdates(newsPerCall), m.mine(args.From)...))
 	m.mu.Unlock()
 	reply.Versions, reply.Loads = m.versions(), loadsToWire(m.cfg.Host.Loads())
-	m.cfg.Host.HearLoads(model.InstanceID(args.From.ID), loadsFromWire(args.Loads))
+	m.cfg.Host.SetPeerLoads(model.InstanceID(args.From.ID), loadsFromWire(args.Loads))
 	m.report()
 	for _, peer := range from {
 		m.compare(peer, args.Versions)
@@ -81,12 +81,12 @@
 
 // Tell takes a letter about upstreams.
 func (c *calls) Tell(args TellArgs, _ *Done) error {
-	c.m.cfg.Host.Hear(letterFromWire(args))
+	c.m.cfg.Host.ApplyPeerUpdate(letterFromWire(args))
 	return nil
 }
 
 // Copy takes word of flows.
 func (c *calls) Copy(args CopyArgs, _ *Done) error {
-	c.m.cfg.Host.Learn(copiesFromWire(args))
+	c.m.cfg.Host.AddAssignments(copiesFromWire(args))
 	return nil
 }
--- a/internal/peer/share/doubt.go
+++ b/internal/peer/share/doubt.go
@@ -27,8 +27,8 @@
 // Done is an empty reply.
 type Done struct{}
 
-// Tell gives word of doubt to the instance that reads for the failure domain.
-func (s *Share) Tell(ctx context.Context, peer netip.AddrPort, d model.Suspicion) (err error) {
+// SendSuspicion gives word of doubt to the instance that reads for the failure domain.
+func (s *Share) SendSuspicion(ctx context.Context, peer netip.AddrPort, d model.Suspicion) (err error) {
 	defer func() {
 		if err != nil {
 			err = eris.Wrapf(err, "tell %s", peer)
@@ -37,8 +37,8 @@
 	return s.links.Call(ctx, peer, doubtMethod, doubtToWire(d), &Done{}, CallMargin)
 }
 
-// Spread passes word of doubt on to those that wait here.
-func (s *Share) Spread(d model.Suspicion) {
+// BroadcastSuspicion passes word of doubt on to those that wait here.
+func (s *Share) BroadcastSuspicion(d model.Suspicion) {
 	if d.Empty() || !s.words.Allow() {
 		return
 	}
@@ -53,8 +53,8 @@
 // Doubt takes word of doubt from another instance.
 func (c *calls) Doubt(args DoubtArgs, _ *Done) error {
 	d := doubtFromWire(args)
-	c.share.cfg.Hear(d)
-	c.share.Spread(d)
+	c.share.cfg.OnSuspicion(d)
+	c.share.BroadcastSuspicion(d)
 	return nil
 }
 
--- a/internal/peer/share/share.go
+++ b/internal/peer/share/share.go
@@ -26,13 +26,13 @@
 	waitLimit = 10 * time.Second
 )
 
-// ErrNothing means that the peer knows nothing yet, or cannot tell all of it now.
-var ErrNothing = eris.New("peer tells nothing now")
+// ErrNoSnapshot means that the peer knows nothing yet, or cannot tell all of it now.
+var ErrNoSnapshot = eris.New("peer tells nothing now")
 
-// Places numbers the instances that ask; it may be called by several of them at once.
-type Places interface {
-	// Place returns the number of the instance; it is zero for none.
-	Place(id model.InstanceID) model.Ordinal
+// OrdinalAssigner numbers the instances that ask; it may be called by several of them at once.
+type OrdinalAssigner interface {
+	// Ordinal returns the number of the instance; it is zero for none.
+	Ordinal(id model.InstanceID) model.Ordinal
 }
 
 // Config is what a Share is built from.
@@ -41,12 +41,12 @@
 	Self model.InstanceID
 	// Listener takes the calls of others.
 	Listener net.Listener
-	// Places numbers those that ask.
-	Places Places
+	// Ordinals numbers those that ask.
+	Ordinals OrdinalAssigner
 	// LinkMbps is the speed of the instance's own link in Mbit/s; zero for unknown.
 	LinkMbps float64
-	// Hear takes what another instance found silent.
-	Hear func(model.Suspicion)
+	// OnSuspicion takes what another instance found silent.
+	OnSuspicion func(model.Suspicion)
 	// Counts takes the counters.
 	Counts *count.Set
 }
@@ -54,7 +54,7 @@
 // Share answers the calls of others and calls them.
 type Share struct {
 	cfg   Config
-	links *links.Links
+	links *links.Pool
 	// wholes bounds the bytes of replies that hold everything, and words the words of doubt.
 	wholes, words *rate.Limiter
 
@@ -86,8 +86,8 @@
 	}
 }
 
-// SetLink replaces the speed of the instance's own link in Mbit/s.
-func (s *Share) SetLink(mbps float64) {
+// SetLinkMbps replaces the speed of the instance's own link in Mbit/s.
+func (s *Share) SetLinkMbps(mbps float64) {
 	s.wholes.SetLimit(wholeRate(mbps))
 	s.wholes.SetBurst(int(wholeRate(mbps)))
 }
@@ -123,8 +123,8 @@
 	s.told = make(chan struct{})
 }
 
-// Next asks a peer for its next word and returns what is known with it; have is what the caller knows.
-func (s *Share) Next(ctx context.Context, peer netip.AddrPort, have model.Snapshot, wait time.Duration) (k model.Snapshot, err error) {
+// Poll asks a peer for its next word and returns what is known with it; have is what the caller knows.
+func (s *Share) Poll(ctx context.Context, peer netip.AddrPort, have model.Snapshot, wait time.Duration) (k model.Snapshot, err error) {
 	defer func() {
 		if err != nil {
 			err = eris.Wrapf(err, "ask %s", peer)
@@ -137,7 +137,7 @@
 	}
 	s.hear(peer, &reply)
 	if reply.Revision == 0 {
-		return k, ErrNothing
+		return k, ErrNoSnapshot
 	}
 	return merge(have, &reply)
 }
@@ -156,7 +156,7 @@
 	s.heard[peer] = reply.Spread
 	s.mu.Unlock()
 	if d := doubtFromWire(reply.Doubts); !d.Empty() {
-		s.cfg.Hear(d)
+		s.cfg.OnSuspicion(d)
 	}
 }
 
@@ -182,7 +182,7 @@
 		case <-c.ctx.Done():
 		}
 	}
-	place := s.cfg.Places.Place(model.InstanceID(args.From))
+	place := s.cfg.Ordinals.Ordinal(model.InstanceID(args.From))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.latest.Revision == 0 {
--- a/internal/peer/share/share_test.go
+++ b/internal/peer/share/share_test.go
@@ -36,7 +36,7 @@
 	start := func(id model.InstanceID, counts *count.Set) (*share.Share, netip.AddrPort) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		p.NoErr(err)
-		s := share.New(share.Config{Self: id, Listener: l, Places: numbers{"asker": {Index: 2, Count: 5}}, Counts: counts, Hear: p.hear(id)})
+		s := share.New(share.Config{Self: id, Listener: l, Ordinals: numbers{"asker": {Index: 2, Count: 5}}, Counts: counts, OnSuspicion: p.hear(id)})
 		go func() { _ = s.Run(ctx) }()
 		return s, netip.MustParseAddrPort(l.Addr().String())
 	}
@@ -55,8 +55,8 @@
 // numbers holds the number of each instance.
 type numbers map[model.InstanceID]model.Ordinal
 
-// Place implements share.Places.
-func (n numbers) Place(id model.InstanceID) model.Ordinal {
+// Ordinal implements share.Places.
+func (n numbers) Ordinal(id model.InstanceID) model.Ordinal {
 	return n[id]
 }
 
@@ -83,7 +83,7 @@
 	p.Helper()
 	before := p.sent()
 	p.reader.Publish(k)
-	got, err := p.asker.Next(p.ctx, p.at, p.believed, 0)
+	got, err := p.asker.Poll(p.ctx, p.at, p.believed, 0)
 	p.NoErr(err)
 	p.Equal(got.Ordinal, model.Ordinal{Index: 2, Count: 5})
 	got.Age, got.GraceLeft, got.Ordinal, k.Age, k.GraceLeft = 0, 0, model.Ordinal{}, 0, 0
@@ -124,7 +124,7 @@
 		Targets: []model.Target{{Service: "claims", Weight: 2}}})
 	before := p.believed
 	p.reader.Publish(routes)
-	got, err := p.asker.Next(p.ctx, p.at, before, 0)
+	got, err := p.asker.Poll(p.ctx, p.at, before, 0)
 	p.NoErr(err)
 	p.Equal(len(got.Routes.Routes), 41)
 	p.Equal(got.Routes.Routes[0], routes.Routes.Routes[40])
@@ -134,7 +134,7 @@
 	same.Out = nil
 	same.Revision = 14
 	p.reader.Publish(same)
-	got, err = p.asker.Next(p.ctx, p.at, p.believed, 0)
+	got, err = p.asker.Poll(p.ctx, p.at, p.believed, 0)
 	p.NoErr(err)
 	p.Equal(len(got.Out), 0)
 }
@@ -142,13 +142,13 @@
 // TestBehind checks that a caller that is too far behind, or knows nothing, gets everything.
 func TestBehind(t *testing.T) {
 	p := newPair(t)
-	_, err := p.asker.Next(p.ctx, p.at, model.Snapshot{}, 0)
+	_, err := p.asker.Poll(p.ctx, p.at, model.Snapshot{}, 0)
 	p.True(err != nil)
 	for rev := model.Revision(10); rev < 60; rev++ {
 		p.reader.Publish(knowledge(rev, 20, 3))
 	}
 	for _, have := range []model.Snapshot{{}, {Revision: 5}, knowledge(12, 3, 1)} {
-		got, err := p.asker.Next(p.ctx, p.at, have, 0)
+		got, err := p.asker.Poll(p.ctx, p.at, have, 0)
 		p.NoErr(err)
 		p.Equal(got.Revision, model.Revision(59))
 		p.Equal(len(got.Upstreams.Items), 20)
@@ -166,7 +166,7 @@
 	next := reader
 	next.Revision, next.OutRevision = 283, 283
 	p.reader.Publish(next)
-	got, err := p.asker.Next(p.ctx, p.at, asker, 0)
+	got, err := p.asker.Poll(p.ctx, p.at, asker, 0)
 	p.NoErr(err)
 	p.Equal(got.Routes, next.Routes)
 	p.Equal(got.Upstreams.Items, next.Upstreams.Items)
@@ -182,7 +182,7 @@
 		p.reader.Publish(k)
 	})
 	began := time.Now()
-	got, err := p.asker.Next(p.ctx, p.at, k, 5*time.Second)
+	got, err := p.asker.Poll(p.ctx, p.at, k, 5*time.Second)
 	p.NoErr(err)
 	p.True(time.Since(began) < 3*time.Second)
 	p.True(got.Age >= 20*time.Millisecond && got.Age < 3*time.Second)
@@ -195,12 +195,12 @@
 	k := knowledge(10, 5, 1)
 	p.reader.Publish(k)
 	ask := func(wait time.Duration) {
-		_, err := p.asker.Next(p.ctx, p.at, k, wait)
+		_, err := p.asker.Poll(p.ctx, p.at, k, wait)
 		p.NoErr(err)
 	}
 	ask(0)
 	word := model.Suspicion{Upstreams: []model.UpstreamID{"a", "b"}, Domains: []model.DomainID{"east"}}
-	time.AfterFunc(50*time.Millisecond, func() { p.NoErr(p.asker.Tell(p.ctx, p.at, word)) })
+	time.AfterFunc(50*time.Millisecond, func() { p.NoErr(p.asker.SendSuspicion(p.ctx, p.at, word)) })
 	began := time.Now()
 	ask(5 * time.Second)
 	p.True(time.Since(began) < 3*time.Second)
@@ -209,7 +209,7 @@
 
 	// What comes while nobody waits is told with the next question, which does not wait.
 	for range 3 {
-		p.reader.Spread(model.Suspicion{Upstreams: []model.UpstreamID{"c"}})
+		p.reader.BroadcastSuspicion(model.Suspicion{Upstreams: []model.UpstreamID{"c"}})
 	}
 	ask(5 * time.Second)
 	p.Equal(<-p.heard["asker"], model.Suspicion{Upstreams: []model.UpstreamID{"c", "c", "c"}})
@@ -218,7 +218,7 @@
 
 	// A flood is bounded.
 	for range 1000 {
-		p.reader.Spread(word)
+		p.reader.BroadcastSuspicion(word)
 	}
 	ask(0)
 	p.True(len((<-p.heard["asker"]).Domains) <= 20)
--- a/internal/plat/object/object.go
+++ b/internal/plat/object/object.go
@@ -18,8 +18,8 @@
 
 const (
 	callTimeout = 3 * time.Second
-	// WatchFor is how long one watch waits at the platform.
-	WatchFor = 25 * time.Second
+	// WatchTimeout is how long one watch waits at the platform.
+	WatchTimeout = 25 * time.Second
 )
 
 // The kinds of the project's objects in the store.
@@ -105,13 +105,13 @@
 	if c.bad != nil {
 		return Object{}, c.bad
 	}
-	ctx, cancel := context.WithTimeout(ctx, WatchFor+callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, WatchTimeout+callTimeout)
 	defer cancel()
 	after := max(c.position(name), model.Revision(above))
 	if after == 0 {
 		return c.reread(ctx, name, above)
 	}
-	events, rev, err := c.store.Watch(ctx, KindObjects, after, WatchFor)
+	events, rev, err := c.store.Watch(ctx, KindObjects, after, WatchTimeout)
 	if errors.Is(err, platform.ErrHistoryGone) {
 		return c.reread(ctx, name, above)
 	}
--- a/internal/run/entry/peers.go
+++ b/internal/run/entry/peers.go
@@ -43,13 +43,13 @@
 	}
 	out := map[model.DomainID]bool{}
 	for _, m := range members {
-		out[m.Domain] = e.mesh.Quiet(m.Domain) && !list.live[m.Domain]
+		out[m.Domain] = e.mesh.DomainDown(m.Domain) && !list.live[m.Domain]
 	}
 	return out
 }
 
-// Hear implements mesh.Host.
-func (e *Entry) Hear(l engine.PeerUpdate) {
+// ApplyPeerUpdate implements mesh.Host.
+func (e *Entry) ApplyPeerUpdate(l engine.PeerUpdate) {
 	e.do(func(now model.Instant) { e.act(e.engine.ApplyPeerUpdate(now, l)) })
 }
 
@@ -62,13 +62,13 @@
 	return *loads
 }
 
-// HearLoads implements mesh.Host.
-func (e *Entry) HearLoads(from model.InstanceID, loads []engine.Load) {
+// SetPeerLoads implements mesh.Host.
+func (e *Entry) SetPeerLoads(from model.InstanceID, loads []engine.Load) {
 	e.do(func(model.Instant) { e.engine.SetPeerLoads(from, loads) })
 }
 
-// Learn implements mesh.Host.
-func (e *Entry) Learn(copies []engine.FlowAssignment) {
+// AddAssignments implements mesh.Host.
+func (e *Entry) AddAssignments(copies []engine.FlowAssignment) {
 	e.do(func(now model.Instant) { e.engine.AddAssignments(now, copies) })
 }
 
@@ -92,7 +92,7 @@
 		return false
 	}
 	for domain := range list.live {
-		if e.mesh.Quiet(domain) {
+		if e.mesh.DomainDown(domain) {
 			return false
 		}
 	}
@@ -139,7 +139,7 @@
 func (e *Entry) post(letters []engine.PeerUpdate, copies []engine.FlowAssignment) {
 	for _, l := range letters {
 		go func() {
-			if e.mesh.Tell(context.Background(), l) != nil {
+			if e.mesh.SendPeerUpdate(context.Background(), l) != nil {
 				e.counts.Counter("mesh.tell_failed").Inc(1)
 			}
 		}()
@@ -150,7 +150,7 @@
 	}
 	for peer, batch := range byPeer {
 		go func() {
-			if e.mesh.Copy(context.Background(), peer, batch) != nil {
+			if e.mesh.SendAssignments(context.Background(), peer, batch) != nil {
 				e.counts.Counter("mesh.copy_failed").Inc(1)
 				e.do(func(model.Instant) { e.engine.RequeueAssignments(batch) })
 			}
--- a/internal/run/relay/doubt.go
+++ b/internal/run/relay/doubt.go
@@ -24,9 +24,9 @@
 		switch {
 		case seat == nil || seat.Holder == "":
 		case seat.Holder == r.cfg.Instance:
-			r.share.Spread(d)
+			r.share.BroadcastSuspicion(d)
 		default:
-			if r.share.Tell(ctx, seat.Control, d) != nil {
+			if r.share.SendSuspicion(ctx, seat.Control, d) != nil {
 				r.counts.Counter("share.doubts_lost").Inc(1)
 			}
 		}
--- a/internal/run/relay/follow.go
+++ b/internal/run/relay/follow.go
@@ -100,7 +100,7 @@
 	f.keeper.FinishStoreRead(now, start, f.ownSeat(seats), true)
 	f.places.confirm(now, start, f.keeper.IsReader())
 	if f.keeper.IsReader() {
-		f.take(ctx, f.places.Place(f.cfg.Instance))
+		f.take(ctx, f.places.Ordinal(f.cfg.Instance))
 	}
 }
 
@@ -120,7 +120,7 @@
 		quiet := time.Duration(0)
 		for quiet < silence && work.Err() == nil {
 			sleep(work, silence-quiet)
-			quiet = min(r.cfg.Silent(), time.Since(began))
+			quiet = min(r.cfg.SinceStoreResponse(), time.Since(began))
 		}
 		fail(errSilent)
 	}()
@@ -168,7 +168,7 @@
 
 // ask takes over what another instance knows if it is newer.
 func (r *Relay) ask(ctx context.Context, peer netip.AddrPort, wait time.Duration) (model.Snapshot, error) {
-	k, err := r.share.Next(ctx, peer, r.knowledge(), wait)
+	k, err := r.share.Poll(ctx, peer, r.knowledge(), wait)
 	if err != nil {
 		return k, err
 	}
@@ -182,7 +182,7 @@
 	seat.Domain, seat.Holder, seat.Control = f.cfg.Domain, f.cfg.Instance, f.cfg.Control
 	work, cancel := context.WithTimeout(ctx, f.keeper.StoreTimeout())
 	defer cancel()
-	now, err := f.cfg.Seats.Claim(work, seat)
+	now, err := f.cfg.ReaderRecords.Claim(work, seat)
 	if err != nil {
 		f.counts.Counter("platform.claim_failed").Inc(1)
 		f.part("platform").With("error", err).Warn("The seat of the failure domain's reader was not taken.")
@@ -196,7 +196,7 @@
 func (r *Relay) askSeeds(ctx context.Context) error {
 	sleep(ctx, seedDelay)
 	for ctx.Err() == nil && r.knowledge().Revision == 0 {
-		if r.cfg.Silent() < seedDelay {
+		if r.cfg.SinceStoreResponse() < seedDelay {
 			// The store is telling all that there is, and its link is wider than that of a seed which everybody asks.
 			sleep(ctx, seedDelay)
 			continue
--- a/internal/run/relay/limits.go
+++ b/internal/run/relay/limits.go
@@ -15,8 +15,8 @@
 	Domains int
 	// Seeds holds control addresses of instances that may know more at the start; they may be stale.
 	Seeds []netip.AddrPort
-	// ChangeBy is the time in which any change must be in force.
-	ChangeBy time.Duration
+	// MaxStaleness is the time in which any change must be in force.
+	MaxStaleness time.Duration
 	// StopWithin is the time in which a planned stop must end.
 	StopWithin time.Duration
 	// LinkMbps is the speed of the instance's own link in Mbit/s; zero for unknown.
@@ -37,11 +37,11 @@
 // SetLimits puts other limits in force while the instance runs.
 func (r *Relay) SetLimits(ctx context.Context, l Limits) {
 	r.counts.Counter("relay.reload").Inc(1)
-	r.part("relay").With("changeBy", l.ChangeBy).With("stopWithin", l.StopWithin).With("linkMbps", l.LinkMbps).With("flowLife", l.FlowLife).
+	r.part("relay").With("changeBy", l.MaxStaleness).With("stopWithin", l.StopWithin).With("linkMbps", l.LinkMbps).With("flowLife", l.FlowLife).
 		With("coldFactor", l.ColdFactor).With("coldSlack", l.ColdSlack).With("seeds", l.Seeds).Info("Changed settings are in force.")
 	r.limits.Store(&l)
 	r.changed.Store(&l)
-	r.share.SetLink(l.LinkMbps)
+	r.share.SetLinkMbps(l.LinkMbps)
 	r.do(ctx, func(model.Instant) { r.engine.SetLimits(l.engine()) })
 }
 
@@ -52,11 +52,11 @@
 		return
 	}
 	f.keeper.SetLinkMbps(l.LinkMbps)
-	if !f.keeper.SetMaxStaleness(l.ChangeBy) {
+	if !f.keeper.SetMaxStaleness(l.MaxStaleness) {
 		return
 	}
 	f.knownMu.Lock()
-	f.trust.SetMaxStaleness(l.ChangeBy)
+	f.trust.SetMaxStaleness(l.MaxStaleness)
 	f.knownMu.Unlock()
 	f.places.reset(f.keeper)
 	f.take(ctx, model.Ordinal{})
--- a/internal/run/relay/places.go
+++ b/internal/run/relay/places.go
@@ -52,8 +52,8 @@
 	p.book.Confirm(now, at, reads)
 }
 
-// Place implements share.Places.
-func (p *places) Place(id model.InstanceID) model.Ordinal {
+// Ordinal implements share.Places.
+func (p *places) Ordinal(id model.InstanceID) model.Ordinal {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.book.Assign(p.now(), id)
--- a/internal/run/relay/read.go
+++ b/internal/run/relay/read.go
@@ -25,7 +25,7 @@
 		g, work := errgroup.WithContext(ctx)
 		var list model.Listing[model.ReaderRecord]
 		g.Go(func() (err error) {
-			list, err = counted(r, r.cfg.Seats.Read)(work)
+			list, err = counted(r, r.cfg.ReaderRecords.Read)(work)
 			return err
 		})
 		g.Go(func() (err error) {
@@ -38,7 +38,7 @@
 		return k, list.Items, err
 	}
 	start := r.now()
-	list, err := counted(r, r.cfg.Seats.Read)(ctx)
+	list, err := counted(r, r.cfg.ReaderRecords.Read)(ctx)
 	if err != nil || list.Revision == have.Revision {
 		return have, list.Items, err
 	}
--- a/internal/run/relay/read_test.go
+++ b/internal/run/relay/read_test.go
@@ -60,14 +60,14 @@
 	}{
 		"the first read, a configuration older than all else": {
 			cfg: Config{
-				Seats: seats{listed[model.ReaderRecord]{at: 193}}, Upstreams: listed[model.Registration]{at: 194},
+				ReaderRecords: seats{listed[model.ReaderRecord]{at: 193}}, Upstreams: listed[model.Registration]{at: 194},
 				Routes: listed[model.RouteTable]{at: 190, items: []model.RouteTable{table}}, DomainsOut: listed[model.DomainID]{at: 194},
 			},
 			want: 190, version: 3,
 		},
 		"changes that lead there": {
 			cfg: Config{
-				Seats: seats{listed[model.ReaderRecord]{at: 192}}, Upstreams: listed[model.Registration]{since: model.Changes[model.Registration]{Revision: 192}},
+				ReaderRecords: seats{listed[model.ReaderRecord]{at: 192}}, Upstreams: listed[model.Registration]{since: model.Changes[model.Registration]{Revision: 192}},
 				Routes:     listed[model.RouteTable]{since: model.Changes[model.RouteTable]{Items: []model.RouteTable{later}, Newest: 192, Revision: 192}},
 				DomainsOut: listed[model.DomainID]{since: model.Changes[model.DomainID]{Revision: 192}},
 			},
@@ -75,7 +75,7 @@
 		},
 		"changes that leave something unexplained": {
 			cfg: Config{
-				Seats: seats{listed[model.ReaderRecord]{at: 192}}, Upstreams: listed[model.Registration]{at: 193, since: model.Changes[model.Registration]{Revision: 192}},
+				ReaderRecords: seats{listed[model.ReaderRecord]{at: 192}}, Upstreams: listed[model.Registration]{at: 193, since: model.Changes[model.Registration]{Revision: 192}},
 				Routes:     listed[model.RouteTable]{at: 193, items: []model.RouteTable{later}, since: model.Changes[model.RouteTable]{Revision: 192}},
 				DomainsOut: listed[model.DomainID]{at: 193, since: model.Changes[model.DomainID]{Revision: 192}},
 			},
--- a/internal/run/relay/relay.go
+++ b/internal/run/relay/relay.go
@@ -44,8 +44,8 @@
 	Since(ctx context.Context, after model.Revision) (model.Changes[T], error)
 }
 
-// Seats keeps who reads the platform's store for each failure domain.
-type Seats interface {
+// ReaderRecords keeps who reads the platform's store for each failure domain.
+type ReaderRecords interface {
 	// Read returns every seat.
 	Read(ctx context.Context) (model.Listing[model.ReaderRecord], error)
 	// Claim takes a seat that is still at its revision; it returns the seat as it is now, whoever holds it.
@@ -78,8 +78,8 @@
 	ReadyPath string
 	// Control receives calls from other instances.
 	Control netip.AddrPort
-	// Seats keeps who reads the store for each failure domain.
-	Seats Seats
+	// ReaderRecords keeps who reads the store for each failure domain.
+	ReaderRecords ReaderRecords
 	// Metrics serves counters; it may be invalid for none.
 	Metrics netip.AddrPort
 	// Codec translates packets.
@@ -88,8 +88,8 @@
 	Upstreams  Source[model.Registration]
 	Routes     Source[model.RouteTable]
 	DomainsOut Source[model.DomainID]
-	// Silent returns for how long the platform's store has sent nothing.
-	Silent func() time.Duration
+	// SinceStoreResponse returns for how long the platform's store has sent nothing.
+	SinceStoreResponse func() time.Duration
 	// LogsDropped returns how many lines of the log were lost since the last call; nil for a log that loses none.
 	LogsDropped func() int64
 }
@@ -172,8 +172,8 @@
 		log:      log,
 		counts:   count.New(),
 		start:    start,
-		trust:    fresh.NewOutageTracker(cfg.ChangeBy, roster.OutageGrace),
-		keeper:   fresh.NewScheduler(fresh.SchedulerConfig{Self: cfg.Instance, MaxStaleness: cfg.ChangeBy, LinkMbps: cfg.LinkMbps}),
+		trust:    fresh.NewOutageTracker(cfg.MaxStaleness, roster.OutageGrace),
+		keeper:   fresh.NewScheduler(fresh.SchedulerConfig{Self: cfg.Instance, MaxStaleness: cfg.MaxStaleness, LinkMbps: cfg.LinkMbps}),
 		arrived:  ring.New[model.Segment](packetRing),
 		commands: ring.New[command](commandRing),
 		doubts:   ring.New[model.Suspicion](doubtRing),
@@ -198,7 +198,7 @@
 		return nil, err
 	}
 	r.places = newPlaces(r.keeper, r.now)
-	r.share = share.New(share.Config{Self: cfg.Instance, Listener: r.control, Places: r.places, LinkMbps: cfg.LinkMbps, Hear: r.hearDoubt, Counts: r.counts})
+	r.share = share.New(share.Config{Self: cfg.Instance, Listener: r.control, Ordinals: r.places, LinkMbps: cfg.LinkMbps, OnSuspicion: r.hearDoubt, Counts: r.counts})
 	return r, nil
 }
 
