--- a/internal/base/logs/budget.go
+++ b/internal/base/logs/budget.go
@@ -9,8 +9,8 @@
 // budgetWindow is the span that a budget counts in.
 const budgetWindow = time.Second
 
-// Budget bounds the lines of each kind in a second and counts the rest; it is not safe for concurrent use.
-type Budget struct {
+// Limiter bounds the lines of each kind in a second and counts the rest; it is not safe for concurrent use.
+type Limiter struct {
 	// Limit is the most lines of one kind in a second.
 	Limit int
 	began time.Duration
@@ -21,14 +21,14 @@
 	written, left int
 }
 
-// LeftOut is how many lines of one kind were left out.
-type LeftOut struct {
+// Suppressed is how many lines of one kind were left out.
+type Suppressed struct {
 	Kind  string
 	Lines int
 }
 
-// Admit reports whether a line of the kind may be written now, on any clock that only goes forward.
-func (b *Budget) Admit(now time.Duration, kind string) bool {
+// Allow reports whether a line of the kind may be written now, on any clock that only goes forward.
+func (b *Limiter) Allow(now time.Duration, kind string) bool {
 	if b.kinds == nil {
 		b.kinds = map[string]*spent{}
 	}
@@ -45,16 +45,16 @@
 	return true
 }
 
-// Turn begins a new window when the last is over; it returns what was left out of it, by kind.
-func (b *Budget) Turn(now time.Duration) []LeftOut {
+// NextWindow begins a new window when the last is over; it returns what was left out of it, by kind.
+func (b *Limiter) NextWindow(now time.Duration) []Suppressed {
 	if now-b.began < budgetWindow {
 		return nil
 	}
 	b.began = now
-	var out []LeftOut
+	var out []Suppressed
 	for _, kind := range slices.Sorted(maps.Keys(b.kinds)) {
 		if n := b.kinds[kind].left; n > 0 {
-			out = append(out, LeftOut{Kind: kind, Lines: n})
+			out = append(out, Suppressed{Kind: kind, Lines: n})
 		}
 		*b.kinds[kind] = spent{}
 	}
--- a/internal/base/logs/logs.go
+++ b/internal/base/logs/logs.go
@@ -24,38 +24,38 @@
 	return log
 }
 
-// Part is the log of one part of the program.
-type Part struct {
+// Logger is the log of one part of the program.
+type Logger struct {
 	log    *logrus.Entry
 	prefix string
 }
 
-// NewPart returns a log whose messages begin with the part's name.
-func NewPart(log *logrus.Logger, name string) Part {
-	return Part{log: logrus.NewEntry(log), prefix: name + ": "}
+// Named returns a log whose messages begin with the part's name.
+func Named(log *logrus.Logger, name string) Logger {
+	return Logger{log: logrus.NewEntry(log), prefix: name + ": "}
 }
 
 // With returns a log that adds a field to each message.
-func (p Part) With(key string, value any) Part {
-	return Part{log: p.log.WithField(key, value), prefix: p.prefix}
+func (p Logger) With(key string, value any) Logger {
+	return Logger{log: p.log.WithField(key, value), prefix: p.prefix}
 }
 
 // Fields are the fields of one message, by name.
 type Fields = logrus.Fields
 
 // WithAll returns a log that adds all fields to each message.
-func (p Part) WithAll(fields Fields) Part {
-	return Part{log: p.log.WithFields(fields), prefix: p.prefix}
+func (p Logger) WithAll(fields Fields) Logger {
+	return Logger{log: p.log.WithFields(fields), prefix: p.prefix}
 }
 
 // Debug logs what only a developer asks for.
-func (p Part) Debug(text string) { p.log.Debug(p.prefix + text) }
+func (p Logger) Debug(text string) { p.log.Debug(p.prefix + text) }
 
 // Info logs what an operator may want to know.
-func (p Part) Info(text string) { p.log.Info(p.prefix + text) }
+func (p Logger) Info(text string) { p.log.Info(p.prefix + text) }
 
 // Warn logs what an operator should know.
-func (p Part) Warn(text string) { p.log.Warn(p.prefix + text) }
+func (p Logger) Warn(text string) { p.log.Warn(p.prefix + text) }
 
 // Error logs what an operator must act on.
-func (p Part) Error(text string) { p.log.Error(p.prefix + text) }
+func (p Logger) Error(text string) { p.log.Error(p.prefix + text) }
--- a/internal/base/logs/logs_test.go
+++ b/internal/base/logs/logs_test.go
@@ -16,19 +16,19 @@
 // TestBudget checks that a flood of one kind leaves the others alone and is summed up.
 func TestBudget(t *testing.T) {
 	is := is.New(t)
-	b := logs.Budget{Limit: 3}
+	b := logs.Limiter{Limit: 3}
 	written := 0
 	for range 10_000 {
-		if b.Admit(0, "reset") {
+		if b.Allow(0, "reset") {
 			written++
 		}
 	}
 	is.Equal(written, 3)
-	is.True(b.Admit(0, "place"))
-	is.Equal(len(b.Turn(time.Second/2)), 0)
-	is.Equal(b.Turn(time.Second), []logs.LeftOut{{Kind: "reset", Lines: 9997}})
-	is.True(b.Admit(time.Second, "reset"))
-	is.Equal(len(b.Turn(2*time.Second)), 0)
+	is.True(b.Allow(0, "place"))
+	is.Equal(len(b.NextWindow(time.Second/2)), 0)
+	is.Equal(b.NextWindow(time.Second), []logs.Suppressed{{Kind: "reset", Lines: 9997}})
+	is.True(b.Allow(time.Second, "reset"))
+	is.Equal(len(b.NextWindow(2*time.Second)), 0)
 }
 
 // stuck is a reader of output that takes nothing until it is released.
@@ -57,7 +57,7 @@
 	began := time.Now()
 	const lines = 20_000
 	for n := range lines {
-		logs.NewPart(log, "flow").With("n", n).Info("A line.")
+		logs.Named(log, "flow").With("n", n).Info("A line.")
 	}
 	is.True(time.Since(began) < 5*time.Second)
 	lost := a.Dropped()
@@ -73,7 +73,7 @@
 func TestJSON(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	logs.NewPart(logs.NewJSON(&out, logrus.InfoLevel), "flow").With("upstream", "a").Info("A new flow is placed.")
+	logs.Named(logs.NewJSON(&out, logrus.InfoLevel), "flow").With("upstream", "a").Info("A new flow is placed.")
 	var line map[string]string
 	is.NoErr(json.Unmarshal(out.Bytes(), &line))
 	is.Equal(line["msg"], "flow: A new flow is placed.")
--- a/internal/bench/replay/pattern.go
+++ b/internal/bench/replay/pattern.go
@@ -136,7 +136,7 @@
 // ParsePattern reads a pattern; the error holds every fault with its line.
 func ParsePattern(name string, text []byte) (*Pattern, error) {
 	p := &Pattern{Name: name}
-	faults := reader.Read(text, reader.Shape{
+	faults := reader.Read(text, reader.Schema{
 		"note":      reader.Text(&p.Note),
 		"length":    reader.Duration(&p.Length, time.Second, maxTime),
 		"domains":   texts(&p.Domains),
@@ -169,7 +169,7 @@
 }
 
 func readEvent(f reader.Field) (e Event) {
-	f.Object(reader.Shape{
+	f.Object(reader.Schema{
 		"at":     reader.Duration(&e.At, 0, maxTime),
 		"for":    reader.Duration(&e.For, 0, maxTime),
 		"kind":   reader.Text(&e.Kind),
--- a/internal/conf/config/config.go
+++ b/internal/conf/config/config.go
@@ -40,7 +40,7 @@
 	}
 	doc := &model.Document{Timing: defaultTiming, KeyEpoch: 1}
 	c := &checker{domains: map[model.DomainID]bool{}, names: map[string]bool{}, addresses: map[netip.AddrPort]string{}, tags: map[model.UpstreamTag]model.UpstreamID{}}
-	faults := reader.Read(text, reader.Shape{
+	faults := reader.Read(text, reader.Schema{
 		"note":      reader.Text(&doc.Note),
 		"operation": reader.Text(&doc.Operation),
 		"earlier": func(f reader.Field) {
@@ -71,7 +71,7 @@
 }
 
 func readTiming(f reader.Field, t *model.Timing) {
-	f.Object(reader.Shape{
+	f.Object(reader.Schema{
 		"detection":   reader.Duration(&t.Detection, 500*time.Millisecond, 4*time.Second),
 		"warmLease":   reader.Duration(&t.WarmLease, 100*time.Millisecond, time.Minute),
 		"bindingLife": reader.Duration(&t.BindingLife, time.Second, time.Hour),
@@ -94,7 +94,7 @@
 }
 
 func (c *checker) readDomain(f reader.Field) (d model.Domain) {
-	f.Object(reader.Shape{
+	f.Object(reader.Schema{
 		"id":     reader.Text(&d.ID),
 		"region": reader.Text(&d.Region),
 		"out":    reader.Flag(&d.Out),
@@ -118,7 +118,7 @@
 		QueueLimit:      defaultQueueLimit,
 		RetryPercent:    defaultRetryPercent,
 	}
-	f.Object(reader.Shape{
+	f.Object(reader.Schema{
 		"id":              reader.Text(&s.ID),
 		"kind":            func(f reader.Field) { readKind(f, &s.Kind) },
 		"address":         reader.Address(&s.Address),
@@ -148,7 +148,7 @@
 
 func (c *checker) readUpstream(f reader.Field) model.Upstream {
 	u := model.Upstream{}
-	f.Object(reader.Shape{
+	f.Object(reader.Schema{
 		"id":              reader.Text(&u.ID),
 		"domain":          reader.Text(&u.Domain),
 		"address":         reader.Address(&u.Address),
--- a/internal/conf/reader/reader.go
+++ b/internal/conf/reader/reader.go
@@ -60,11 +60,11 @@
 	faults Faults
 }
 
-// Shape maps the names of an object's fields to their readers.
-type Shape map[string]func(Field)
+// Schema maps the names of an object's fields to their readers.
+type Schema map[string]func(Field)
 
 // Read parses text and reads its outermost object.
-func Read(text []byte, shape Shape) Faults {
+func Read(text []byte, shape Schema) Faults {
 	r := &Reader{text: text}
 	value, err := hujson.Parse(text)
 	if err != nil {
@@ -90,7 +90,7 @@
 }
 
 // Object reads the fields of an object; unknown and repeated names are faults.
-func (f Field) Object(shape Shape) {
+func (f Field) Object(shape Schema) {
 	obj, ok := f.value.Value.(*hujson.Object)
 	if !ok {
 		f.Fault("must be an object")
@@ -114,7 +114,7 @@
 	}
 }
 
-func (s Shape) names() []string {
+func (s Schema) names() []string {
 	names := make([]string, 0, len(s))
 	for name := range s {
 		names = append(names, name)
--- a/internal/conf/setup/console.go
+++ b/internal/conf/setup/console.go
@@ -42,7 +42,7 @@
 // ParseConsole reads the console's settings; the error holds every fault with its line.
 func ParseConsole(text []byte) (Console, error) {
 	cfg := Console{Listen: defaultConsole}
-	faults := reader.Read(text, reader.Shape{
+	faults := reader.Read(text, reader.Schema{
 		"listen":   reader.Address(&cfg.Listen),
 		"platform": reader.Text(&cfg.Platform),
 		"token":    reader.Text(&cfg.Token),
--- a/internal/conf/setup/setup.go
+++ b/internal/conf/setup/setup.go
@@ -24,16 +24,16 @@
 	Front netip.AddrPort
 	// Back sends to upstreams and receives their answers.
 	Back netip.AddrPort
-	// Hand receives packets from peers.
-	Hand netip.AddrPort
+	// HandOff receives packets from peers.
+	HandOff netip.AddrPort
 	// Control receives calls from peers.
 	Control netip.AddrPort
 	// Admin serves status and counters to operators.
 	Admin netip.AddrPort
 	// Advertise is the control address that peers use; the same as Control if not given.
 	Advertise netip.AddrPort
-	// AdvertiseHand is the address for packets that peers use; the same as Hand if not given.
-	AdvertiseHand netip.AddrPort
+	// AdvertiseHandOff is the address for packets that peers use; the same as Hand if not given.
+	AdvertiseHandOff netip.AddrPort
 	// Fabric is where packets for callers go.
 	Fabric netip.AddrPort
 	// Platform is the URL of the platform's object API.
@@ -83,16 +83,16 @@
 		HealthInterval: defaultHealthInterval,
 		Policy:         engine.DefaultPolicy,
 	}
-	faults := reader.Read(text, reader.Shape{
+	faults := reader.Read(text, reader.Schema{
 		"instance":       reader.Text(&cfg.Instance),
 		"domain":         reader.Text(&cfg.Domain),
 		"front":          reader.Address(&cfg.Front),
 		"back":           reader.Address(&cfg.Back),
-		"hand":           reader.Address(&cfg.Hand),
+		"hand":           reader.Address(&cfg.HandOff),
 		"control":        reader.Address(&cfg.Control),
 		"admin":          reader.Address(&cfg.Admin),
 		"advertise":      reader.Address(&cfg.Advertise),
-		"advertiseHand":  reader.Address(&cfg.AdvertiseHand),
+		"advertiseHand":  reader.Address(&cfg.AdvertiseHandOff),
 		"fabric":         reader.Address(&cfg.Fabric),
 		"platform":       reader.Text(&cfg.Platform),
 		"logLevel":       func(f reader.Field) { readLevel(f, &cfg.LogLevel) },
@@ -106,8 +106,8 @@
 	if !cfg.Advertise.IsValid() {
 		cfg.Advertise = cfg.Control
 	}
-	if !cfg.AdvertiseHand.IsValid() {
-		cfg.AdvertiseHand = cfg.Hand
+	if !cfg.AdvertiseHandOff.IsValid() {
+		cfg.AdvertiseHandOff = cfg.HandOff
 	}
 	return cfg, faults.Err()
 }
@@ -140,7 +140,7 @@
 		{name: "domain", set: cfg.Domain != ""},
 		{name: "front", set: cfg.Front.IsValid()},
 		{name: "back", set: cfg.Back.IsValid()},
-		{name: "hand", set: cfg.Hand.IsValid()},
+		{name: "hand", set: cfg.HandOff.IsValid()},
 		{name: "control", set: cfg.Control.IsValid()},
 		{name: "admin", set: cfg.Admin.IsValid()},
 		{name: "fabric", set: cfg.Fabric.IsValid()},
--- a/internal/conf/setup/setup_test.go
+++ b/internal/conf/setup/setup_test.go
@@ -38,7 +38,7 @@
 			if tc.want == "" {
 				is.NoErr(err)
 				is.Equal(cfg.Advertise, cfg.Control)
-				is.Equal(cfg.AdvertiseHand, cfg.Hand)
+				is.Equal(cfg.AdvertiseHandOff, cfg.HandOff)
 				return
 			}
 			is.True(err != nil)
--- a/internal/conf/watch/watch.go
+++ b/internal/conf/watch/watch.go
@@ -12,19 +12,19 @@
 type Config struct {
 	// Path names the file.
 	Path string
-	// Every is how often the file is read without a signal; each read costs as much as one log line.
-	Every time.Duration
+	// Interval is how often the file is read without a signal; each read costs as much as one log line.
+	Interval time.Duration
 	// Signals lets the file be read at once; it may be nil.
 	Signals <-chan os.Signal
-	// Changed takes the content each time that it differs from what it was.
-	Changed func(text []byte)
-	// Failed takes why the file could not be read; what it was last stays in force.
-	Failed func(err error)
+	// OnChange takes the content each time that it differs from what it was.
+	OnChange func(text []byte)
+	// OnError takes why the file could not be read; what it was last stays in force.
+	OnError func(err error)
 }
 
 // Run watches until ctx ends; known is the content that is in force.
 func Run(ctx context.Context, cfg Config, known []byte) {
-	tick := time.NewTicker(cfg.Every)
+	tick := time.NewTicker(cfg.Interval)
 	defer tick.Stop()
 	failed := false
 	for {
@@ -37,10 +37,10 @@
 		text, err := os.ReadFile(cfg.Path)
 		switch {
 		case err != nil && !failed:
-			cfg.Failed(err)
+			cfg.OnError(err)
 		case err == nil && !bytes.Equal(text, known):
 			known = text
-			cfg.Changed(text)
+			cfg.OnChange(text)
 		}
 		failed = err != nil
 	}
--- a/internal/conf/watch/watch_test.go
+++ b/internal/conf/watch/watch_test.go
@@ -32,8 +32,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	cfg := watch.Config{
-		Path: path, Every: time.Hour, Signals: signals,
-		Changed: func(text []byte) { seen <- string(text) }, Failed: func(error) { failed <- "failed" },
+		Path: path, Interval: time.Hour, Signals: signals,
+		OnChange: func(text []byte) { seen <- string(text) }, OnError: func(error) { failed <- "failed" },
 	}
 	go watch.Run(ctx, cfg, []byte("a"))
 	signals <- syscall.SIGHUP
@@ -50,7 +50,7 @@
 	is.Equal(len(failed), 0)
 	is.Equal(len(seen), 0)
 
-	cfg.Every, cfg.Signals = 10*time.Millisecond, nil
+	cfg.Interval, cfg.Signals = 10*time.Millisecond, nil
 	go watch.Run(ctx, cfg, []byte("b"))
 	write("c")
 	is.Equal(next(seen), "c")
--- a/internal/oper/forms/forms.go
+++ b/internal/oper/forms/forms.go
@@ -33,7 +33,7 @@
 	Admin []string
 	// Token is the operators' password; their name is free.
 	Token string
-	Log   logs.Part
+	Log   logs.Logger
 }
 
 // Console serves the forms.
--- a/internal/oper/forms/forms_test.go
+++ b/internal/oper/forms/forms_test.go
@@ -42,7 +42,7 @@
 	srv := httptest.NewServer(forms.New(forms.Config{
 		Platform: d.platform,
 		Token:    token,
-		Log:      logs.NewPart(logs.New(io.Discard, logrus.InfoLevel), "console"),
+		Log:      logs.Named(logs.New(io.Discard, logrus.InfoLevel), "console"),
 	}).Handler())
 	t.Cleanup(srv.Close)
 	d.url = srv.URL
--- a/internal/oper/shell/console.go
+++ b/internal/oper/shell/console.go
@@ -58,7 +58,7 @@
 }
 
 func serveConsole(ctx context.Context, cfg setup.Console) error {
-	log := logs.NewPart(logs.New(os.Stderr, logrus.InfoLevel), "console")
+	log := logs.Named(logs.New(os.Stderr, logrus.InfoLevel), "console")
 	console := forms.New(forms.Config{
 		Platform: object.NewClient(cfg.Platform, netip.Addr{}),
 		Admin:    cfg.Admin,
--- a/internal/oper/shell/relay.go
+++ b/internal/oper/shell/relay.go
@@ -60,7 +60,7 @@
 	writing, end := context.WithCancel(context.WithoutCancel(ctx))
 	var g errgroup.Group
 	g.Go(func() error { return out.Run(writing) })
-	go watch.Run(writing, watch.Config{Path: path, Every: settingsEvery, Signals: reload, Changed: in.reload, Failed: in.refuse}, text)
+	go watch.Run(writing, watch.Config{Path: path, Interval: settingsEvery, Signals: reload, OnChange: in.reload, OnError: in.refuse}, text)
 	err = in.relay.Run(ctx)
 	end()
 	_ = g.Wait()
@@ -81,12 +81,12 @@
 		Ready:              s.Ready,
 		ReadyPath:          platform.ReadyPath,
 		Control:            s.Control,
-		ReaderRecords:      platform.NewSeats(in.client),
+		ReaderRecords:      platform.NewReaderRecords(in.client),
 		Codec:              platform.Codec{},
 		Upstreams:          platform.Upstreams(in.client),
 		Routes:             platform.Routes(in.client),
 		DomainsOut:         platform.DomainsOut(in.client),
-		SinceStoreResponse: in.client.Silent,
+		SinceStoreResponse: in.client.SinceLastResponse,
 	}
 	if c.metricsPort != 0 {
 		cfg.Metrics = netip.AddrPortFrom(s.Packets.Addr(), uint16(c.metricsPort))
@@ -123,8 +123,8 @@
 		in.refuse(err)
 		return
 	}
-	if fields := next.KeepFixed(&in.settings); len(fields) > 0 {
-		logs.NewPart(in.log, "relay").With("instance", in.settings.Instance).With("fields", fields).
+	if fields := next.KeepImmutable(&in.settings); len(fields) > 0 {
+		logs.Named(in.log, "relay").With("instance", in.settings.Instance).With("fields", fields).
 			Warn("Settings have changed that need a new start; their old values stay in force.")
 	}
 	in.settings = next
@@ -134,6 +134,6 @@
 
 // refuse logs that changed settings cannot be used.
 func (in *relayInstance) refuse(err error) {
-	logs.NewPart(in.log, "relay").With("instance", in.settings.Instance).With("error", err).
+	logs.Named(in.log, "relay").With("instance", in.settings.Instance).With("error", err).
 		Error("Changed settings cannot be used; those before stay in force.")
 }
--- a/internal/peer/mesh/mesh.go
+++ b/internal/peer/mesh/mesh.go
@@ -62,7 +62,7 @@
 	// Member is what the membership list is built from.
 	Member member.Config
 	Host   Host
-	Log    logs.Part
+	Log    logs.Logger
 	Counts *count.Set
 	// Start is the instant zero of the process.
 	Start time.Time
--- a/internal/plat/object/object.go
+++ b/internal/plat/object/object.go
@@ -120,7 +120,7 @@
 	}
 	c.setPosition(name, rev)
 	for i := len(events) - 1; i >= 0; i-- {
-		if events[i].Object.Name == name && !events[i].Removed {
+		if events[i].Object.Name == name && !events[i].Deleted {
 			return decode(events[i].Object)
 		}
 	}
--- a/internal/plat/object/object_test.go
+++ b/internal/plat/object/object_test.go
@@ -65,7 +65,7 @@
 		},
 		"a lost answer is an error, and the write took effect": func(d *desk) {
 			v := d.put(0, "one")
-			d.store.LoseAnswers(1)
+			d.store.DropResponses(1)
 			_, err := d.client.Put(d.ctx, "document", v, []byte("two"))
 			d.True(err != nil && !errors.Is(err, object.ErrConflict))
 			obj, err := d.client.Get(d.ctx, "document")
@@ -77,7 +77,7 @@
 			d.True(errors.Is(err, object.ErrRejected))
 		},
 		"an outage is an error": func(d *desk) {
-			d.store.SetDown(stand.OutageBusy)
+			d.store.SetOutage(stand.OutageUnavailable)
 			_, err := d.client.Instances(d.ctx)
 			d.True(err != nil)
 		},
--- a/internal/proof/direct/direct_test.go
+++ b/internal/proof/direct/direct_test.go
@@ -46,7 +46,7 @@
 				}
 				s.await(startLimit, want, func() bool { return strings.Contains(p.Log(), want) })
 			}
-			faster := func(set *stand.Settings) { set.ChangeBy /= 2 }
+			faster := func(set *stand.Settings) { set.MaxStaleness /= 2 }
 			change(s.Processes[0], true, "Changed settings are in force", faster)
 			change(s.Processes[1], false, "Changed settings are in force", faster)
 			change(s.Processes[2], true, "Changed settings cannot be used", func(set *stand.Settings) { set.Store = netip.AddrPort{} })
@@ -56,7 +56,7 @@
 			time.Sleep(changeBy)
 			from := time.Now()
 			time.Sleep(calm)
-			if s.upstreams[0].Opened().After(from) {
+			if s.upstreams[0].LastOpening().After(from) {
 				s.t.Error("a leaving upstream got a new flow")
 			}
 		},
@@ -65,26 +65,26 @@
 			time.Sleep(changeBy)
 			from := time.Now()
 			time.Sleep(calm)
-			if late := s.upstreams[0].Opened(); late.After(from) {
+			if late := s.upstreams[0].LastOpening(); late.After(from) {
 				s.t.Errorf("a leaving upstream got a new flow %s after its word", late.Sub(from)+changeBy)
 			}
 		},
 		"a failure domain is taken out and back": func(s *scene) {
-			s.Store.TakeOut("east")
+			s.Store.EvacuateDomain("east")
 			time.Sleep(changeBy)
 			from := time.Now()
 			time.Sleep(calm)
 			for _, u := range s.upstreams {
-				if u.Domain() == "east" && u.Opened().After(from) {
+				if u.Domain() == "east" && u.LastOpening().After(from) {
 					s.t.Errorf("upstream %s of a failure domain that is out got a new flow", u.Name())
 				}
 			}
-			s.Store.TakeBack("east")
+			s.Store.RestoreDomain("east")
 			time.Sleep(changeBy)
-			s.await(calm, "new flows in the domain that is back", func() bool { return s.upstreams[0].Opened().After(from) })
+			s.await(calm, "new flows in the domain that is back", func() bool { return s.upstreams[0].LastOpening().After(from) })
 		},
 		"a configuration that nobody understands": func(s *scene) {
-			s.Store.Spoil()
+			s.Store.Corrupt()
 			time.Sleep(changeBy)
 		},
 		"all other routes come and go": func(s *scene) {
@@ -133,34 +133,34 @@
 			settle: changeBy,
 		},
 		"an upstream falls silent": {
-			fault:  func(s *scene) { s.check(s.upstreams[0].SetSilent(true)) },
+			fault:  func(s *scene) { s.check(s.upstreams[0].SetUnresponsive(true)) },
 			settle: time.Second,
 		},
-		"the store turns everybody away": {fault: func(s *scene) { s.Store.SetDown(stand.OutageBusy) }},
-		"the store's rate is spent":      {fault: func(s *scene) { s.Store.SetDown(stand.OutageMany) }},
-		"the store goes silent":          {fault: func(s *scene) { s.Store.SetDown(stand.OutageSilent) }},
-		"the store resets connections":   {fault: func(s *scene) { s.Store.SetDown(stand.OutageReset) }},
-		"the store is slow":              {fault: func(s *scene) { s.Store.SetSlow(300 * time.Millisecond) }},
+		"the store turns everybody away": {fault: func(s *scene) { s.Store.SetOutage(stand.OutageUnavailable) }},
+		"the store's rate is spent":      {fault: func(s *scene) { s.Store.SetOutage(stand.OutageRateLimited) }},
+		"the store goes silent":          {fault: func(s *scene) { s.Store.SetOutage(stand.OutageHang) }},
+		"the store resets connections":   {fault: func(s *scene) { s.Store.SetOutage(stand.OutageReset) }},
+		"the store is slow":              {fault: func(s *scene) { s.Store.SetDelay(300 * time.Millisecond) }},
 		"the store keeps changes to itself and forgets them, and an upstream drains": {
 			fault: func(s *scene) {
-				s.Store.HoldWatches(true)
+				s.Store.StallWatches(true)
 				s.upstreams[0].Drain()
 				time.Sleep(time.Second)
 				s.Store.DropHistory()
-				s.Store.HoldWatches(false)
+				s.Store.StallWatches(false)
 			},
 			settle: changeBy - time.Second,
 			after: func(s *scene) {
 				from := time.Now()
 				time.Sleep(calm)
-				if s.upstreams[0].Opened().After(from) {
+				if s.upstreams[0].LastOpening().After(from) {
 					s.t.Error("a leaving upstream still gets new flows")
 				}
 			},
 		},
 		"an instance starts while the store is away": {
 			fault: func(s *scene) {
-				s.Store.SetDown(stand.OutageSilent)
+				s.Store.SetOutage(stand.OutageHang)
 				s.stopAndStart(s.Processes[2])
 			},
 			settle: 2 * time.Second,
@@ -170,12 +170,12 @@
 		},
 		"entries lapse while the store is away": {
 			fault: func(s *scene) {
-				s.Store.SetDown(stand.OutageBusy)
+				s.Store.SetOutage(stand.OutageUnavailable)
 				time.Sleep(2 * time.Second)
 				for _, u := range s.upstreams {
-					u.Lapse()
+					u.ExpireEntry()
 				}
-				s.Store.SetDown(stand.OutageNone)
+				s.Store.SetOutage(stand.OutageNone)
 				time.Sleep(2 * time.Second)
 				for _, u := range s.upstreams {
 					u.Register()
@@ -193,7 +193,7 @@
 			after: func(s *scene) {
 				from := time.Now()
 				time.Sleep(calm)
-				if s.upstreams[1].Opened().After(from) {
+				if s.upstreams[1].LastOpening().After(from) {
 					s.t.Error("a leaving upstream still gets new flows")
 				}
 			},
@@ -222,8 +222,8 @@
 	t.Parallel()
 	is := is.New(t)
 	s := newScene(t)
-	s.Store.TakeOut("west")
-	s.Store.SpoilUpstreams()
+	s.Store.EvacuateDomain("west")
+	s.Store.CorruptUpstreams()
 	p := s.Processes[0]
 	var w status.RelayWire
 	s.await(startLimit, "the instance has a number and knows what is out", func() bool {
@@ -254,7 +254,7 @@
 
 // TestCheck checks what the command that checks files says of those of the platform.
 func TestCheck(t *testing.T) {
-	good := string(stand.Settings{Name: "a", Domain: "east", Packets: feedAddress, Ready: feedAddress, Control: feedAddress, Store: feedAddress}.File())
+	good := string(stand.Settings{Name: "a", Domain: "east", Packets: feedAddress, Ready: feedAddress, Control: feedAddress, Store: feedAddress}.TOML())
 	routes := `{"version":7,"routes":[{"name":"a","hostname":"198.18.0.1","path-prefix":"/443/","route-type":"safe","service":"desk"}],"services":[]}`
 	cases := map[string]struct {
 		kind, text string
@@ -279,7 +279,7 @@
 
 // TestSettings checks that bad settings end the program with a line that names the field.
 func TestSettings(t *testing.T) {
-	good := string(stand.Settings{Name: "a", Domain: "east", Packets: feedAddress, Ready: feedAddress, Control: feedAddress, Store: feedAddress}.File())
+	good := string(stand.Settings{Name: "a", Domain: "east", Packets: feedAddress, Ready: feedAddress, Control: feedAddress, Store: feedAddress}.TOML())
 	cases := map[string]struct {
 		text string
 		want string
--- a/internal/proof/direct/harness_test.go
+++ b/internal/proof/direct/harness_test.go
@@ -132,10 +132,10 @@
 	s.load.Stop()
 	ran := map[string]int{}
 	for _, u := range s.upstreams {
-		for _, fault := range u.Faults() {
+		for _, fault := range u.Violations() {
 			s.t.Errorf("upstream %s: %s", u.Name(), fault)
 		}
-		for id, n := range u.Ran() {
+		for id, n := range u.Executions() {
 			ran[id] += n
 		}
 	}
@@ -148,7 +148,7 @@
 		s.t.Error(fault)
 	}
 	for _, c := range s.Callers {
-		if n := c.Forged(); n > 0 {
+		if n := c.CorruptPackets(); n > 0 {
 			s.t.Errorf("%d packets reached callers changed", n)
 		}
 	}
--- a/internal/proof/soak/checks_test.go
+++ b/internal/proof/soak/checks_test.go
@@ -94,7 +94,7 @@
 func (r *run) checkReset(e *stand.ResetError) {
 	now := time.Now()
 	for _, u := range r.Upstreams() {
-		if !u.Holds(e.Flow) || !r.ledger.calm(u.Name(), now.Add(-stabilityWindow), now) {
+		if !u.HasFlow(e.Flow) || !r.ledger.calm(u.Name(), now.Add(-stabilityWindow), now) {
 			continue
 		}
 		by := r.instanceAt(e.By)
@@ -178,10 +178,10 @@
 func (r *run) checkRuns() {
 	ran := map[string]int{}
 	for _, u := range r.Upstreams() {
-		for _, fault := range u.Faults() {
+		for _, fault := range u.Violations() {
 			r.violate("%s: %s", u.Name(), fault)
 		}
-		for id, n := range u.Ran() {
+		for id, n := range u.Executions() {
 			ran[id] += n
 			if service := serviceOf(id); service != u.Service() {
 				r.violate("%s ran %s, which is for %s", u.Name(), id, service)
@@ -197,7 +197,7 @@
 		r.violate("%s", fault)
 	}
 	for _, c := range r.Callers {
-		if n := c.Forged(); n > 0 {
+		if n := c.CorruptPackets(); n > 0 {
 			r.violate("%d packets reached callers changed", n)
 		}
 	}
@@ -238,28 +238,28 @@
 
 // checkCold checks that a cold upstream gets no more flows in any second than it bears.
 func (r *run) checkCold(u *stand.Upstream) {
-	lives, opened := u.Lives(), u.Openings()
+	lives, opened := u.Runs(), u.Openings()
 	for n, life := range lives {
-		if n == 0 && life.From.Before(r.began.Add(coldFor)) {
+		if n == 0 && life.Started.Before(r.began.Add(coldFor)) {
 			// It started before the traffic.
 			continue
 		}
 		down := time.Duration(0)
 		if n > 0 {
-			down = life.From.Sub(lives[n-1].To)
+			down = life.Started.Sub(lives[n-1].Stopped)
 		}
 		var cold []stand.Opening
 		for _, o := range opened {
 			// Who cannot read the registry cannot tell a restart under the same name, see restartKnownBy.
-			known := n == 0 || (o.At.Sub(life.From) > restartKnownBy && r.ledger.inTouch(r.instanceAt(o.From), o.At))
-			if known && o.At.After(life.From) && o.At.Before(life.Warm) {
+			known := n == 0 || (o.At.Sub(life.Started) > restartKnownBy && r.ledger.inTouch(r.instanceAt(o.From), o.At))
+			if known && o.At.After(life.Started) && o.At.Before(life.WarmAt) {
 				cold = append(cold, o)
 			}
 		}
 		for i := coldRate; i < len(cold); i++ {
 			if cold[i].At.Sub(cold[i-coldRate].At) < time.Second {
 				r.violate("at %s %s got %d flows in a second, %s after its start that followed %s of silence: %s",
-					r.clock(cold[i].At), u.Name(), coldRate+1, cold[i].At.Sub(life.From), down, r.senders(cold[i-coldRate:i+1]))
+					r.clock(cold[i].At), u.Name(), coldRate+1, cold[i].At.Sub(life.Started), down, r.senders(cold[i-coldRate:i+1]))
 				break
 			}
 		}
--- a/internal/proof/soak/faults_test.go
+++ b/internal/proof/soak/faults_test.go
@@ -27,7 +27,7 @@
 	stormSize   = 10
 )
 
-var outages = []stand.Outage{stand.OutageBusy, stand.OutageMany, stand.OutageSilent, stand.OutageReset}
+var outages = []stand.Outage{stand.OutageUnavailable, stand.OutageRateLimited, stand.OutageHang, stand.OutageReset}
 
 // revive starts a process that has ended.
 func (s *script) revive(p *stage.Process) {
@@ -152,7 +152,7 @@
 				from = append(from, p.Settings.Packets.Addr())
 			}
 		}
-		if err := u.Sever(from...); err != nil {
+		if err := u.Partition(from...); err != nil {
 			s.violate("%v", err)
 		}
 	}
@@ -164,8 +164,8 @@
 	if d.coin {
 		for _, p := range s.Processes {
 			if p.Settings.Domain == d.domain {
-				p.Door.SetDown(stand.OutageSilent)
-				defer p.Door.SetDown(stand.OutageNone)
+				p.Door.SetOutage(stand.OutageHang)
+				defer p.Door.SetOutage(stand.OutageNone)
 			}
 		}
 	}
@@ -176,8 +176,8 @@
 	p := s.process(d.process)
 	s.note("%s is cut off for %s, from the store too: %v", p.Settings.Name, d.long, d.coin)
 	if d.coin {
-		p.Door.SetDown(stand.OutageSilent)
-		defer p.Door.SetDown(stand.OutageNone)
+		p.Door.SetOutage(stand.OutageHang)
+		defer p.Door.SetOutage(stand.OutageNone)
 	}
 	s.cut(func(_, name string) bool { return name == p.Settings.Name }, d.long)
 }
@@ -226,49 +226,49 @@
 	p := s.process(d.process)
 	defer s.ledger.harm(p.Settings.Name)()
 	s.note("the store does not serve %s for %s, variant %d", p.Settings.Name, d.long, d.many%len(outages))
-	p.Door.SetDown(outages[d.many%len(outages)])
+	p.Door.SetOutage(outages[d.many%len(outages)])
 	time.Sleep(d.long)
-	p.Door.SetDown(stand.OutageNone)
+	p.Door.SetOutage(stand.OutageNone)
 }
 
 func (s *script) doorMute(d draw) {
 	p := s.process(d.process)
 	defer s.ledger.harm(p.Settings.Name)()
 	s.note("connections of %s to the store go silent", p.Settings.Name)
-	p.Door.Mute()
+	p.Door.StallConnections()
 }
 
 func (s *script) doorSlow(d draw) {
 	p := s.process(d.process)
 	defer s.ledger.harm(p.Settings.Name)()
 	s.note("the store is %s slow for %s", d.short, p.Settings.Name)
-	p.Door.SetSlow(d.short)
+	p.Door.SetDelay(d.short)
 	time.Sleep(d.long)
-	p.Door.SetSlow(0)
+	p.Door.SetDelay(0)
 }
 
 func (s *script) storeDown(d draw) {
 	defer s.ledger.harm(theStore)()
 	s.note("the store is down for %s, variant %d", d.long, d.many%len(outages))
-	s.Store.SetDown(outages[d.many%len(outages)])
+	s.Store.SetOutage(outages[d.many%len(outages)])
 	time.Sleep(d.long)
-	s.Store.SetDown(stand.OutageNone)
+	s.Store.SetOutage(stand.OutageNone)
 }
 
 // storeLapses takes the store away until entries of upstreams that live have gone; they are back soon after it.
 func (s *script) storeLapses(d draw) {
 	end := s.ledger.harm(theStore)
-	s.Store.SetDown(outages[d.many%len(outages)])
+	s.Store.SetOutage(outages[d.many%len(outages)])
 	time.Sleep(d.long)
 	var gone []*stand.Upstream
 	for n, u := range s.Upstreams() {
 		if (n+d.upstream)%3 > 0 && s.hold(u) {
-			u.Lapse()
+			u.ExpireEntry()
 			gone = append(gone, u)
 		}
 	}
 	s.note("%d entries lapse during an outage of %s", len(gone), d.long)
-	s.Store.SetDown(stand.OutageNone)
+	s.Store.SetOutage(stand.OutageNone)
 	end()
 	for _, u := range gone {
 		time.Sleep(returnBy / time.Duration(len(gone)+1))
@@ -291,25 +291,25 @@
 func (s *script) storeSlow(d draw) {
 	defer s.ledger.harm(theStore)()
 	s.note("the store is %s slow", d.short)
-	s.Store.SetSlow(d.short)
+	s.Store.SetDelay(d.short)
 	time.Sleep(d.long)
-	s.Store.SetSlow(0)
+	s.Store.SetDelay(0)
 }
 
 func (s *script) answersLost(d draw) {
 	defer s.ledger.harm(theStore)()
-	s.Store.LoseAnswers(1 + d.many%3)
+	s.Store.DropResponses(1 + d.many%3)
 	s.killOne(s.process(d.process), d.short)
-	s.Store.LoseAnswers(0)
+	s.Store.DropResponses(0)
 }
 
 // historyGone lets the store keep changes to itself for a while and then forget them.
 func (s *script) historyGone(d draw) {
 	defer s.ledger.harm(theStore)()
-	s.Store.HoldWatches(true)
+	s.Store.StallWatches(true)
 	time.Sleep(d.short)
 	s.Store.DropHistory()
-	s.Store.HoldWatches(false)
+	s.Store.StallWatches(false)
 }
 
 // says keeps when the store has acknowledged that an upstream leaves.
@@ -332,7 +332,7 @@
 	time.Sleep(drainBy + d.long/2)
 	defer s.ledger.harm(u.Name())()
 	s.note("%s leaves", u.Name())
-	u.Leave()
+	u.Shutdown()
 }
 
 // drainAndKill lets upstreams leave while instances of their domain are killed.
@@ -352,7 +352,7 @@
 	u.Close()
 	if !d.coin {
 		time.Sleep(lapseAfter)
-		u.Lapse()
+		u.ExpireEntry()
 		s.says(u)
 		s.add(u.Service(), u.Domain(), netip.AddrPort{})
 		return
@@ -380,7 +380,7 @@
 	s.note("%s ends, and its address goes to another service; planned: %v", u.Name(), d.coin)
 	u.Close()
 	if d.coin {
-		u.Lapse()
+		u.ExpireEntry()
 	}
 	s.add(u.Service(), u.Domain(), netip.AddrPort{})
 	time.Sleep(reuseAfter + d.short)
@@ -391,7 +391,7 @@
 	s.add(other, u.Domain(), u.Address())
 	if !d.coin {
 		time.Sleep(lapseAfter - reuseAfter)
-		u.Lapse()
+		u.ExpireEntry()
 		s.says(u)
 	}
 }
@@ -404,11 +404,11 @@
 	defer s.release(u)
 	defer s.ledger.harm(u.Name())()
 	s.note("%s is silent for %s", u.Name(), d.long/2)
-	if err := u.SetSilent(true); err != nil {
+	if err := u.SetUnresponsive(true); err != nil {
 		s.violate("%v", err)
 	}
 	time.Sleep(d.long / 2)
-	if err := u.SetSilent(false); err != nil {
+	if err := u.SetUnresponsive(false); err != nil {
 		s.violate("%v", err)
 	}
 }
@@ -420,9 +420,9 @@
 	}
 	defer s.release(u)
 	defer s.ledger.harm(u.Name())()
-	u.SetSlow(slowFactor)
+	u.SetSlowdown(slowFactor)
 	time.Sleep(d.long)
-	u.SetSlow(1)
+	u.SetSlowdown(1)
 }
 
 func (s *script) scaleOut(d draw) {
@@ -492,7 +492,7 @@
 			return
 		}
 	}
-	s.Store.TakeOut(d.domain)
+	s.Store.EvacuateDomain(d.domain)
 	out := &span{from: time.Now()}
 	s.facts.out[d.domain] = append(s.facts.out[d.domain], out)
 	s.run.mu.Unlock()
@@ -501,12 +501,12 @@
 	s.run.mu.Lock()
 	defer s.run.mu.Unlock()
 	out.to = time.Now()
-	s.Store.TakeBack(d.domain)
+	s.Store.RestoreDomain(d.domain)
 }
 
 // unreadable puts entries into the registry that nobody understands.
 func (s *script) unreadable(d draw) {
-	s.Store.SpoilUpstreams()
+	s.Store.CorruptUpstreams()
 	time.Sleep(d.long)
-	s.Store.ClearSpoilt()
+	s.Store.RemoveCorruptUpstreams()
 }
--- a/internal/proof/soak/script_test.go
+++ b/internal/proof/soak/script_test.go
@@ -200,8 +200,8 @@
 			return false
 		}
 	}
-	for _, life := range u.Lives() {
-		if life.Warm.Before(from) && (life.To.IsZero() || life.To.After(to)) {
+	for _, life := range u.Runs() {
+		if life.WarmAt.Before(from) && (life.Stopped.IsZero() || life.Stopped.After(to)) {
 			return s.ledger.calm(u.Name(), from, to)
 		}
 	}
--- a/internal/proof/whole/document_test.go
+++ b/internal/proof/whole/document_test.go
@@ -178,7 +178,7 @@
 		is := is.New(t)
 		base, err := change.Read(ctx, client)
 		is.NoErr(err)
-		s.Store.LoseAnswers(1)
+		s.Store.DropResponses(1)
 		v := s.leave("ruche-service-2", true)
 		after, err := change.Read(ctx, client)
 		is.NoErr(err)
@@ -206,8 +206,8 @@
 
 	t.Run("an outage of a minute's start is waited for", func(t *testing.T) {
 		is := is.New(t)
-		s.Store.SetDown(stand.OutageBusy)
-		time.AfterFunc(3*time.Second, func() { s.Store.SetDown(stand.OutageNone) })
+		s.Store.SetOutage(stand.OutageUnavailable)
+		time.AfterFunc(3*time.Second, func() { s.Store.SetOutage(stand.OutageNone) })
 		base := change.Draft{}
 		for base.Version == 0 {
 			base, _ = change.Read(ctx, client)
--- a/internal/proof/whole/fault_test.go
+++ b/internal/proof/whole/fault_test.go
@@ -89,22 +89,22 @@
 			time.Sleep(8 * time.Second)
 		},
 		"platform down for a minute and slow": func(s *stage) {
-			s.Store.SetDown(stand.OutageBusy)
+			s.Store.SetOutage(stand.OutageUnavailable)
 			time.Sleep(time.Minute)
-			s.Store.SetDown(stand.OutageNone)
-			s.Store.SetSlow(2 * time.Second)
+			s.Store.SetOutage(stand.OutageNone)
+			s.Store.SetDelay(2 * time.Second)
 			time.Sleep(4 * time.Second)
-			s.Store.SetSlow(0)
+			s.Store.SetDelay(0)
 		},
 		"instance joins during an outage of the platform": func(s *stage) {
-			s.Store.SetDown(stand.OutageBusy)
+			s.Store.SetOutage(stand.OutageUnavailable)
 			s.Kill(s.Instances[6])
 			time.Sleep(time.Second)
 			if err := s.Restart(s.Instances[6]); err != nil {
 				s.t.Fatal(err)
 			}
 			time.Sleep(8 * time.Second)
-			s.Store.SetDown(stand.OutageNone)
+			s.Store.SetOutage(stand.OutageNone)
 		},
 	}
 	for name, bring := range cases {
--- a/internal/proof/whole/planned_test.go
+++ b/internal/proof/whole/planned_test.go
@@ -51,10 +51,10 @@
 			}
 		},
 		"platform down while instance stops": func(s *stage) {
-			s.Store.SetDown(stand.OutageBusy)
+			s.Store.SetOutage(stand.OutageUnavailable)
 			s.Stop(s.Instances[2])
 			time.Sleep(12 * time.Second)
-			s.Store.SetDown(stand.OutageNone)
+			s.Store.SetOutage(stand.OutageNone)
 		},
 	}
 	for name, change := range cases {
--- a/internal/run/entry/act.go
+++ b/internal/run/entry/act.go
@@ -23,7 +23,7 @@
 		return e.wrap(e.back, a.Address, callerFrame(a.Packet))
 	case model.VerbHandOff:
 		f := callerFrame(a.Packet)
-		f.Hops, f.Toward = a.Packet.Hops+1, a.Packet.Upstream
+		f.Hops, f.Upstream = a.Packet.Hops+1, a.Packet.Upstream
 		return e.wrap(e.hand, e.hands[a.Peer], f)
 	case model.VerbHandOffAnswer:
 		f := answerFrame(a.Answer.Flow, a.Answer.Raw)
@@ -66,7 +66,7 @@
 	}
 	raw := a.Raw
 	if len(a.Binding) > 0 {
-		if raw, err = coap.Renew(raw, a.Binding); err != nil {
+		if raw, err = coap.RenewBinding(raw, a.Binding); err != nil {
 			return d, err
 		}
 	}
@@ -83,9 +83,9 @@
 	case model.VerbChallenge:
 		raw, err = coap.Challenge(a.Packet, a.Binding)
 	case model.VerbRefuse:
-		raw, err = coap.Refuse(a.Packet, a.Reason, a.RetryAfter)
+		raw, err = coap.Reject(a.Packet, a.Reason, a.RetryAfter)
 	default:
-		raw, err = coap.Unknown(a.Packet, a.Reason)
+		raw, err = coap.OutcomeUnknown(a.Packet, a.Reason)
 	}
 	if err != nil {
 		return d, err
--- a/internal/run/entry/entry.go
+++ b/internal/run/entry/entry.go
@@ -102,7 +102,7 @@
 		Boot:    model.BootID(e.start.UnixNano()),
 		State:   model.MemberAlive,
 		Control: cfg.Advertise,
-		HandOff: cfg.AdvertiseHand,
+		HandOff: cfg.AdvertiseHandOff,
 	}
 	seed := cfg.Seed
 	if seed == 0 {
@@ -114,7 +114,7 @@
 		Listener: e.control,
 		Member:   member.Config{Self: e.self, Detection: startTiming, Seed: seed},
 		Host:     e,
-		Log:      logs.NewPart(log, "mesh"),
+		Log:      logs.Named(log, "mesh"),
 		Counts:   e.counts,
 		Start:    e.start,
 	})
@@ -128,7 +128,7 @@
 	if e.back, err = listenUDP(e.cfg.Back); err != nil {
 		return err
 	}
-	if e.hand, err = listenUDP(e.cfg.Hand); err != nil {
+	if e.hand, err = listenUDP(e.cfg.HandOff); err != nil {
 		return err
 	}
 	if e.control, err = net.Listen("tcp", e.cfg.Control.String()); err != nil {
@@ -242,8 +242,8 @@
 	}
 }
 
-func (e *Entry) part(name string) logs.Part {
-	return logs.NewPart(e.log, name)
+func (e *Entry) part(name string) logs.Logger {
+	return logs.Named(e.log, name)
 }
 
 func (e *Entry) now() model.Instant {
--- a/internal/run/entry/sockets.go
+++ b/internal/run/entry/sockets.go
@@ -17,7 +17,7 @@
 // readFront takes callers' packets from the fabric.
 func (e *Entry) readFront(ctx context.Context) error {
 	return e.read(ctx, e.front, func(f frame.Frame, _ netip.AddrPort) {
-		f.Hops, f.Toward = 0, ""
+		f.Hops, f.Upstream = 0, ""
 		e.takePacket(f)
 	})
 }
@@ -71,7 +71,7 @@
 		e.tally.drop(model.ReasonMalformed)
 		return
 	}
-	p.Hops, p.Upstream = f.Hops, f.Toward
+	p.Hops, p.Upstream = f.Hops, f.Upstream
 	if !e.packets.Offer(p) {
 		e.tally.drop(model.ReasonRingFull)
 	}
@@ -79,9 +79,9 @@
 
 func (e *Entry) classify(flow model.FlowKey, raw []byte) (model.Packet, error) {
 	if kinds := e.services.Load(); kinds != nil && (*kinds)[flow.Service] == model.KindDatagram {
-		return dgram.Packet(flow, raw), nil
+		return dgram.ParsePacket(flow, raw), nil
 	}
-	return coap.Packet(flow, raw)
+	return coap.ParsePacket(flow, raw)
 }
 
 // takeAnswer classifies an upstream's datagram and passes it to the decide duty.
@@ -100,9 +100,9 @@
 
 func (e *Entry) classifyAnswer(flow model.FlowKey, raw []byte) (model.Answer, error) {
 	if kinds := e.services.Load(); kinds != nil && (*kinds)[flow.Service] == model.KindDatagram {
-		return dgram.Answer(flow, raw), nil
+		return dgram.ParseAnswer(flow, raw), nil
 	}
-	return coap.Answer(flow, raw)
+	return coap.ParseAnswer(flow, raw)
 }
 
 // send is the duty that writes datagrams.
--- a/internal/run/relay/read.go
+++ b/internal/run/relay/read.go
@@ -85,7 +85,7 @@
 
 // since reads the changes of one kind.
 func since[T any](ctx context.Context, r *Relay, s Source[T], after model.Revision, into *model.Changes[T]) (err error) {
-	*into, err = s.Since(ctx, after)
+	*into, err = s.ChangesSince(ctx, after)
 	r.countCall(err)
 	return err
 }
@@ -109,7 +109,7 @@
 		read := r.cfg.Upstreams.Read
 		if o != nil {
 			read = func(ctx context.Context) (model.Listing[model.Registration], error) {
-				return r.cfg.Upstreams.ReadEarly(ctx, o.upstreams)
+				return r.cfg.Upstreams.ReadPaged(ctx, o.upstreams)
 			}
 		}
 		k.Upstreams, err = counted(r, read)(ctx)
--- a/internal/run/relay/read_test.go
+++ b/internal/run/relay/read_test.go
@@ -26,13 +26,13 @@
 	return model.Listing[T]{Items: l.items, Revision: l.at}, nil
 }
 
-// ReadEarly implements Source.
-func (l listed[T]) ReadEarly(ctx context.Context, _ func([]T)) (model.Listing[T], error) {
+// ReadPaged implements Source.
+func (l listed[T]) ReadPaged(ctx context.Context, _ func([]T)) (model.Listing[T], error) {
 	return l.Read(ctx)
 }
 
-// Since implements Source.
-func (l listed[T]) Since(context.Context, model.Revision) (model.Changes[T], error) {
+// ChangesSince implements Source.
+func (l listed[T]) ChangesSince(context.Context, model.Revision) (model.Changes[T], error) {
 	return l.since, l.err
 }
 
--- a/internal/run/relay/record.go
+++ b/internal/run/relay/record.go
@@ -35,9 +35,9 @@
 
 // recorder writes the log of decisions and beliefs; the decide duty alone uses it.
 type recorder struct {
-	log logs.Part
+	log logs.Logger
 	// budget bounds the decisions, and beliefs the changes of what is believed.
-	budget, beliefs logs.Budget
+	budget, beliefs logs.Limiter
 }
 
 // kindOf returns the kind of a decision; it is empty for packets of open flows, which only follow an earlier decision.
@@ -59,7 +59,7 @@
 // record logs one decision with what decided it.
 func (r *Relay) record(now model.Instant, a *direct.Action) {
 	kind := kindOf(a)
-	if kind == "" || !r.recorder.budget.Admit(time.Duration(now), kind) {
+	if kind == "" || !r.recorder.budget.Allow(time.Duration(now), kind) {
 		return
 	}
 	fields := logs.Fields{
@@ -89,7 +89,7 @@
 	fields["domain"], fields["state"], fields["entryRevision"] = u.Domain, u.State.String(), u.Revision
 }
 
-func withUpstream(log logs.Part, u *roster.Upstream) logs.Part {
+func withUpstream(log logs.Logger, u *roster.Upstream) logs.Logger {
 	fields := logs.Fields{}
 	addUpstream(fields, u)
 	return log.WithAll(fields)
@@ -97,7 +97,7 @@
 
 // summarise logs what the budgets left out.
 func (r *Relay) summarise(now model.Instant) {
-	for _, left := range append(r.recorder.budget.Turn(time.Duration(now)), r.recorder.beliefs.Turn(time.Duration(now))...) {
+	for _, left := range append(r.recorder.budget.NextWindow(time.Duration(now)), r.recorder.beliefs.NextWindow(time.Duration(now))...) {
 		r.counts.Counter("log.left_out." + left.Kind).Inc(int64(left.Lines))
 		r.recorder.log.With("kind", left.Kind).With("lines", left.Lines).Info("Lines were left out.")
 	}
@@ -111,7 +111,7 @@
 func (r *Relay) report(now model.Instant) {
 	log := r.part("health")
 	for _, n := range r.engine.TakeEvents() {
-		if !r.recorder.beliefs.Admit(time.Duration(now), n.Kind.String()) {
+		if !r.recorder.beliefs.Allow(time.Duration(now), n.Kind.String()) {
 			continue
 		}
 		switch n.Kind {
@@ -126,7 +126,7 @@
 		}
 	}
 	for _, n := range r.engine.Roster().TakeStateChanges() {
-		if !r.recorder.beliefs.Admit(time.Duration(now), "upstream_"+n.State.String()) {
+		if !r.recorder.beliefs.Allow(time.Duration(now), "upstream_"+n.State.String()) {
 			continue
 		}
 		withUpstream(r.part("roster"), n.Upstream).With("service", n.Upstream.Service).With("draining", n.Upstream.Draining).
--- a/internal/run/relay/record_test.go
+++ b/internal/run/relay/record_test.go
@@ -17,7 +17,7 @@
 
 func benchRelay(limit int) *Relay {
 	r := &Relay{cfg: Config{Instance: "east-1", LogsDropped: func() int64 { return 0 }}, log: logs.NewJSON(io.Discard, logrus.InfoLevel), counts: count.New()}
-	r.recorder = recorder{log: r.part("flow"), budget: logs.Budget{Limit: limit}}
+	r.recorder = recorder{log: r.part("flow"), budget: logs.Limiter{Limit: limit}}
 	return r
 }
 
--- a/internal/run/relay/relay.go
+++ b/internal/run/relay/relay.go
@@ -38,10 +38,10 @@
 type Source[T any] interface {
 	// Read returns all of them.
 	Read(ctx context.Context) (model.Listing[T], error)
-	// ReadEarly returns all of them and hands parts of a long list to early before the rest is read.
-	ReadEarly(ctx context.Context, early func([]T)) (model.Listing[T], error)
-	// Since returns what has changed after a revision; it fails when the platform cannot tell.
-	Since(ctx context.Context, after model.Revision) (model.Changes[T], error)
+	// ReadPaged returns all of them and hands parts of a long list to early before the rest is read.
+	ReadPaged(ctx context.Context, early func([]T)) (model.Listing[T], error)
+	// ChangesSince returns what has changed after a revision; it fails when the platform cannot tell.
+	ChangesSince(ctx context.Context, after model.Revision) (model.Changes[T], error)
 }
 
 // ReaderRecords keeps who reads the platform's store for each failure domain.
@@ -184,7 +184,7 @@
 	r.place.Store(&model.Ordinal{})
 	r.tally = newTallies(r.counts)
 	r.handshakes, r.answers = r.counts.Latency("handshake"), r.counts.Latency("answer")
-	r.recorder = recorder{log: r.part("flow"), budget: logs.Budget{Limit: decisionLines}, beliefs: logs.Budget{Limit: beliefLines}}
+	r.recorder = recorder{log: r.part("flow"), budget: logs.Limiter{Limit: decisionLines}, beliefs: logs.Limiter{Limit: beliefLines}}
 	if r.cfg.LogsDropped == nil {
 		r.cfg.LogsDropped = func() int64 { return 0 }
 	}
@@ -267,8 +267,8 @@
 	}
 }
 
-func (r *Relay) part(name string) logs.Part {
-	return logs.NewPart(r.log, name).With("instance", r.cfg.Instance)
+func (r *Relay) part(name string) logs.Logger {
+	return logs.Named(r.log, name).With("instance", r.cfg.Instance)
 }
 
 func (r *Relay) now() model.Instant {
--- a/internal/stand/crowd/crowd.go
+++ b/internal/stand/crowd/crowd.go
@@ -160,7 +160,7 @@
 }
 
 func (c *Crowd) ask(ctx context.Context, f *stand.Flow, k Kind, id string) error {
-	answer, err := f.Ask(ctx, id)
+	answer, err := f.Request(ctx, id)
 	if err == nil && answer != k.Service+" "+id {
 		c.count(func() { c.faults = append(c.faults, fmt.Sprintf("asked %q of %q, got %q", id, k.Service, answer)) })
 	}
--- a/internal/stand/stage/process.go
+++ b/internal/stand/stage/process.go
@@ -27,7 +27,7 @@
 type Process struct {
 	Settings stand.Settings
 	// Door is the instance's way to the store.
-	Door *stand.Door
+	Door *stand.FaultProxy
 	// Number is the place in the list of processes.
 	Number int
 
@@ -92,7 +92,7 @@
 
 // WriteSettings writes the settings file.
 func (p *Process) WriteSettings() error {
-	return os.WriteFile(p.path, p.Settings.File(), 0o600)
+	return os.WriteFile(p.path, p.Settings.TOML(), 0o600)
 }
 
 // Signal sends a signal that does not end the process.
--- a/internal/stand/stage/stage.go
+++ b/internal/stand/stage/stage.go
@@ -154,7 +154,7 @@
 	}
 	u, err := stand.StartUpstream(stand.UpstreamConfig{
 		Number: number, Service: service, Domain: domain, Address: at, CallerPort: packetPort,
-		Work: s.cfg.Work, ColdFor: s.cfg.ColdFor, Store: s.Store,
+		RequestTime: s.cfg.Work, ColdFor: s.cfg.ColdFor, Store: s.Store,
 	})
 	if err != nil {
 		return nil, err
@@ -185,7 +185,7 @@
 		path: filepath.Join(s.cfg.Dir, fmt.Sprintf("%d.toml", n)), log: filepath.Join(s.cfg.Dir, fmt.Sprintf("%d.log", n)), binary: s.cfg.Binary,
 		Settings: stand.Settings{
 			Name: instanceName(n), Domain: domain, Domains: s.cfg.Domains, Packets: s.addr(groupInstances, n+1, packetPort), Ready: s.addr(groupInstances, n+1, readyPort),
-			Control: s.addr(groupInstances, n+1, controlPort), Seeds: s.seeds(), Store: store, ChangeBy: s.cfg.ChangeBy,
+			Control: s.addr(groupInstances, n+1, controlPort), Seeds: s.seeds(), Store: store, MaxStaleness: s.cfg.ChangeBy,
 		},
 	}
 	s.mu.Lock()
@@ -207,7 +207,7 @@
 }
 
 // openDoor opens the way of one instance to the store.
-func (s *Stage) openDoor(n int) (*stand.Door, netip.AddrPort, error) {
+func (s *Stage) openDoor(n int) (*stand.FaultProxy, netip.AddrPort, error) {
 	l, err := net.Listen("tcp", s.addr(groupStore, n+1, storePort).String())
 	if err != nil {
 		return nil, netip.AddrPort{}, err
@@ -215,7 +215,7 @@
 	s.mu.Lock()
 	s.closers = append(s.closers, func() { _ = l.Close() })
 	s.mu.Unlock()
-	door := s.Store.Door()
+	door := s.Store.FaultProxy()
 	if s.cfg.Tunnels != nil {
 		door.Rewrite = func(body []byte) []byte { return s.redirect(n, body) }
 	}
--- a/internal/wire/coap/coap.go
+++ b/internal/wire/coap/coap.go
@@ -29,8 +29,8 @@
 	return m, err
 }
 
-// Packet returns what the decision packages must know of a caller's datagram.
-func Packet(flow model.FlowKey, raw []byte) (p model.Packet, err error) {
+// ParsePacket returns what the decision packages must know of a caller's datagram.
+func ParsePacket(flow model.FlowKey, raw []byte) (p model.Packet, err error) {
 	defer func() {
 		if err != nil {
 			err = eris.Wrap(err, "coap: classify packet")
@@ -109,8 +109,8 @@
 	return h.Sum64()
 }
 
-// Answer returns what the decision packages must know of an upstream's datagram.
-func Answer(flow model.FlowKey, raw []byte) (a model.Answer, err error) {
+// ParseAnswer returns what the decision packages must know of an upstream's datagram.
+func ParseAnswer(flow model.FlowKey, raw []byte) (a model.Answer, err error) {
 	m, err := decode(raw)
 	if err != nil {
 		return a, eris.Wrap(err, "coap: classify answer")
@@ -141,9 +141,9 @@
 
 // The diagnostic texts that callers may compare.
 const (
-	TextNotRun  = "not run"
-	TextRefused = "refused"
-	TextUnknown = "outcome unknown"
+	TextNotRun   = "not run"
+	TextRejected = "refused"
+	TextUnknown  = "outcome unknown"
 )
 
 // Challenge answers a request with the binding to repeat it with.
@@ -152,22 +152,22 @@
 	return reply(p, codes.Unauthorized, opts, "")
 }
 
-// Refuse answers a request that is turned away. Only of one that is not idempotent it is known that no copy was run.
-func Refuse(p *model.Packet, reason model.Reason, after time.Duration) ([]byte, error) {
+// Reject answers a request that is turned away. Only of one that is not idempotent it is known that no copy was run.
+func Reject(p *model.Packet, reason model.Reason, after time.Duration) ([]byte, error) {
 	var buf [4]byte
 	opts, _, err := message.Options{}.SetUint32(buf[:], message.MaxAge, uint32(after/time.Second))
 	if err != nil {
 		return nil, eris.Wrap(err, "coap: refuse")
 	}
-	text := TextRefused
+	text := TextRejected
 	if p.Class == model.ClassOnce {
 		text = TextNotRun
 	}
 	return reply(p, codes.ServiceUnavailable, opts, text+": "+reason.String())
 }
 
-// Unknown answers a request whose outcome is not known.
-func Unknown(p *model.Packet, reason model.Reason) ([]byte, error) {
+// OutcomeUnknown answers a request whose outcome is not known.
+func OutcomeUnknown(p *model.Packet, reason model.Reason) ([]byte, error) {
 	return reply(p, codes.GatewayTimeout, nil, TextUnknown+": "+reason.String())
 }
 
@@ -201,8 +201,8 @@
 	return encode(m)
 }
 
-// Renew returns an answer with a fresh binding for its stream.
-func Renew(raw, binding []byte) ([]byte, error) {
+// RenewBinding returns an answer with a fresh binding for its stream.
+func RenewBinding(raw, binding []byte) ([]byte, error) {
 	m, err := decode(raw)
 	if err != nil {
 		return nil, eris.Wrap(err, "coap: renew binding")
--- a/internal/wire/coap/coap_test.go
+++ b/internal/wire/coap/coap_test.go
@@ -50,7 +50,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p, err := coap.Packet(flow, encode(t, tc.message))
+			p, err := coap.ParsePacket(flow, encode(t, tc.message))
 			is.NoErr(err)
 			is.Equal(p.Class, tc.class)
 			is.Equal(p.Block, tc.part)
@@ -61,16 +61,16 @@
 // TestDigest checks that copies of a request are the same request, and that other content is not.
 func TestDigest(t *testing.T) {
 	is := is.New(t)
-	first, err := coap.Packet(flow, encode(t, request(codes.POST)))
+	first, err := coap.ParsePacket(flow, encode(t, request(codes.POST)))
 	is.NoErr(err)
 	again := request(codes.POST, message.Option{ID: message.Echo, Value: []byte("binding")})
 	again.Token, again.MessageID = message.Token("other"), 8
-	second, err := coap.Packet(flow, encode(t, again))
+	second, err := coap.ParsePacket(flow, encode(t, again))
 	is.NoErr(err)
 	is.Equal(first.Digest, second.Digest)
 	is.Equal(string(second.Binding), "binding")
 	again.Payload = []byte("another ref")
-	third, err := coap.Packet(flow, encode(t, again))
+	third, err := coap.ParsePacket(flow, encode(t, again))
 	is.NoErr(err)
 	is.True(third.Digest != first.Digest)
 }
@@ -88,7 +88,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			a, err := coap.Answer(flow, encode(t, tc.message))
+			a, err := coap.ParseAnswer(flow, encode(t, tc.message))
 			is.NoErr(err)
 			is.Equal(a.Outcome, tc.want)
 		})
@@ -97,9 +97,9 @@
 
 func TestReplies(t *testing.T) {
 	is := is.New(t)
-	p, err := coap.Packet(flow, encode(t, request(codes.POST)))
+	p, err := coap.ParsePacket(flow, encode(t, request(codes.POST)))
 	is.NoErr(err)
-	raw, err := coap.Refuse(&p, model.ReasonQueueFull, 2*time.Second)
+	raw, err := coap.Reject(&p, model.ReasonQueueFull, 2*time.Second)
 	is.NoErr(err)
 	m := message.Message{Options: make(message.Options, 0, 8)}
 	_, err = coder.DefaultCoder.Decode(raw, &m)
@@ -111,7 +111,7 @@
 	is.NoErr(err)
 	is.Equal(age, uint32(2))
 	p.Class = model.ClassIdempotent
-	raw, err = coap.Refuse(&p, model.ReasonQueueFull, time.Second)
+	raw, err = coap.Reject(&p, model.ReasonQueueFull, time.Second)
 	is.NoErr(err)
 	_, err = coder.DefaultCoder.Decode(raw, &m)
 	is.NoErr(err)
@@ -121,11 +121,11 @@
 func FuzzPacket(f *testing.F) {
 	f.Add(encode(f, request(codes.POST, message.Option{ID: message.Echo, Value: []byte("binding")})))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		p, err := coap.Packet(flow, raw)
+		p, err := coap.ParsePacket(flow, raw)
 		if err != nil || p.Class == model.ClassReply {
 			return
 		}
-		if _, err := coap.Unknown(&p, model.ReasonAnswerLost); err != nil {
+		if _, err := coap.OutcomeUnknown(&p, model.ReasonAnswerLost); err != nil {
 			t.Errorf("what was read cannot be answered: %v", err)
 		}
 	})
--- a/internal/wire/frame/frame.go
+++ b/internal/wire/frame/frame.go
@@ -38,8 +38,8 @@
 	Hops uint8
 	// From is the upstream of an answer handed between instances; otherwise invalid.
 	From netip.AddrPort
-	// Toward is the upstream that a peer found for the packet; empty for none.
-	Toward model.UpstreamID
+	// Upstream is the upstream that a peer found for the packet; empty for none.
+	Upstream model.UpstreamID
 	// Payload is the datagram behind the header.
 	Payload []byte
 }
@@ -88,7 +88,7 @@
 		}
 		f.Hops = tlv.Value[0]
 	case typeTo:
-		f.Toward = model.UpstreamID(tlv.Value)
+		f.Upstream = model.UpstreamID(tlv.Value)
 	case typeFrom:
 		if err := f.From.UnmarshalBinary(tlv.Value); err != nil {
 			return ErrTLV
@@ -138,8 +138,8 @@
 	if f.Hops != 0 {
 		tlvs = append(tlvs, proxyproto.TLV{Type: typeHops, Value: []byte{f.Hops}})
 	}
-	if f.Toward != "" {
-		tlvs = append(tlvs, proxyproto.TLV{Type: typeTo, Value: []byte(f.Toward)})
+	if f.Upstream != "" {
+		tlvs = append(tlvs, proxyproto.TLV{Type: typeTo, Value: []byte(f.Upstream)})
 	}
 	if f.From.IsValid() {
 		value, _ := f.From.MarshalBinary()
--- a/internal/wire/frame/frame_test.go
+++ b/internal/wire/frame/frame_test.go
@@ -11,13 +11,13 @@
 
 func sample() frame.Frame {
 	return frame.Frame{
-		Source:  netip.MustParseAddrPort("127.0.0.4:40000"),
-		Dest:    netip.MustParseAddrPort("127.0.0.10:5683"),
-		Boot:    7,
-		Hops:    1,
-		From:    netip.MustParseAddrPort("127.0.0.21:7100"),
-		Toward:  "order-desk-1",
-		Payload: []byte("payload"),
+		Source:   netip.MustParseAddrPort("127.0.0.4:40000"),
+		Dest:     netip.MustParseAddrPort("127.0.0.10:5683"),
+		Boot:     7,
+		Hops:     1,
+		From:     netip.MustParseAddrPort("127.0.0.21:7100"),
+		Upstream: "order-desk-1",
+		Payload:  []byte("payload"),
 	}
 }
 
@@ -25,7 +25,7 @@
 	six := sample()
 	six.Source, six.Dest = netip.MustParseAddrPort("[::1]:1"), netip.MustParseAddrPort("[::2]:2")
 	bare := sample()
-	bare.Boot, bare.Hops, bare.From, bare.Toward, bare.Payload = 0, 0, netip.AddrPort{}, "", []byte{}
+	bare.Boot, bare.Hops, bare.From, bare.Upstream, bare.Payload = 0, 0, netip.AddrPort{}, "", []byte{}
 	cases := map[string]frame.Frame{"every field": sample(), "version 6": six, "bare": bare}
 	for name, want := range cases {
 		t.Run(name, func(t *testing.T) {
