--- a/internal/core/allot/allot.go
+++ b/internal/core/allot/allot.go
@@ -1,4 +1,5 @@
-// Package allot divides what a cold upstream bears among the instances that may use it, without talk between them.
+// Package allot divides the capacity of an upstream in its cold start among the instances that may use it. Instances compute their shares
+// independently, from the ordinals that an Allocator assigns within each failure domain.
 package allot
 
 import (
@@ -7,66 +8,66 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// ColdUpstream is one cold upstream as one instance sees it.
+// ColdUpstream is an upstream in its cold start, as seen by one instance.
 type ColdUpstream struct {
 	Upstream model.UpstreamID
-	// Capacity is how many flows it may get in one window, over all instances.
+	// Capacity is the maximum number of new flows in one time window, over all instances.
 	Capacity int
-	// Local is set if it is in the instance's own failure domain.
+	// Local is true if the upstream is in the instance's own failure domain.
 	Local bool
-	// Domains is the number of failure domains, which every instance counts alike; at least one.
+	// Domains is the number of failure domains; at least one. It must be the same on all instances.
 	Domains int
-	// Ordinal is the number of the instance among those of its failure domain.
+	// Ordinal is the ordinal of the instance within its failure domain.
 	Ordinal model.Ordinal
 }
 
-// Share returns how many flows this instance may send to the upstream in one window. Instances of the upstream's failure
-// domain get half of what it bears, those of the others divide the rest; an instance without a number gets none.
+// Share returns the number of new flows that this instance may send to the upstream in one window. Instances of the upstream's own failure
+// domain get half of the capacity, those of other domains divide the rest. An instance without an ordinal gets none.
 func (c ColdUpstream) Share() int {
-	budget := c.budget()
+	capacity := c.domainCapacity()
 	switch {
-	case c.Ordinal.Count == 0 || budget <= 0:
+	case c.Ordinal.Count == 0 || capacity <= 0:
 		return 0
-	case budget >= c.Ordinal.Count:
-		return budget / c.Ordinal.Count
-	case c.rank() < budget:
+	case capacity >= c.Ordinal.Count:
+		return capacity / c.Ordinal.Count
+	case c.rank() < capacity:
 		return 1
 	default:
 		return 0
 	}
 }
 
-// budget returns what the upstream may get from all instances of one failure domain.
-func (c ColdUpstream) budget() int {
-	home := c.Capacity
+// domainCapacity returns the part of the capacity for all instances of the instance's failure domain.
+func (c ColdUpstream) domainCapacity() int {
+	local := c.Capacity
 	if c.Domains > 1 {
-		home = (c.Capacity + 1) / 2
+		local = (c.Capacity + 1) / 2
 	}
 	switch {
 	case c.Local:
-		return home
+		return local
 	case c.Domains > 1:
-		return (c.Capacity - home) / (c.Domains - 1)
+		return (c.Capacity - local) / (c.Domains - 1)
 	default:
 		return 0
 	}
 }
 
-// rank returns how many numbers of the failure domain come before the instance's own for this upstream. One more number
-// takes the turn of one instance at most.
+// rank returns the position of the instance's ordinal in an order of all ordinals of the failure domain that is specific to this upstream.
+// An additional ordinal displaces at most one instance from the first positions.
 func (c ColdUpstream) rank() (before int) {
 	key := xxhash.Sum64String(string(c.Upstream))
-	own := turn(key, c.Ordinal.Index)
+	own := priority(key, c.Ordinal.Index)
 	for n := range c.Ordinal.Count {
-		if n != c.Ordinal.Index && turn(key, n) < own {
+		if n != c.Ordinal.Index && priority(key, n) < own {
 			before++
 		}
 	}
 	return before
 }
 
-// turn orders the numbers of a failure domain differently for each upstream.
-func turn(key uint64, n int) uint64 {
+// priority is the sort key of ordinal n in the order that is specific to the upstream with the hash key.
+func priority(key uint64, n int) uint64 {
 	x := key + uint64(n+1)*0x9e3779b97f4a7c15
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/core/allot/allot_test.go
+++ b/internal/core/allot/allot_test.go
@@ -13,40 +13,40 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// TestShare checks that all instances of all failure domains together never get more than an upstream bears.
+// TestShare checks that the shares of all instances in all failure domains never exceed the capacity of an upstream.
 func TestShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := allot.ColdUpstream{
+		cold := allot.ColdUpstream{
 			Upstream: model.UpstreamID(rapid.StringN(1, 8, -1).Draw(t, "upstream")),
-			Capacity: rapid.IntRange(0, 40).Draw(t, "bears"),
+			Capacity: rapid.IntRange(0, 40).Draw(t, "capacity"),
 			Domains:  rapid.IntRange(1, 12).Draw(t, "domains"),
 		}
 		sum := 0
-		for d := range c.Domains {
-			of := rapid.IntRange(0, 30).Draw(t, "instances")
-			for n := range of {
-				c.Local, c.Ordinal = d == 0, model.Ordinal{Index: n, Count: of}
-				sum += c.Share()
+		for d := range cold.Domains {
+			count := rapid.IntRange(0, 30).Draw(t, "instances")
+			for n := range count {
+				cold.Local, cold.Ordinal = d == 0, model.Ordinal{Index: n, Count: count}
+				sum += cold.Share()
 			}
 		}
-		if sum > c.Capacity {
-			t.Fatalf("%d flows for an upstream that bears %d", sum, c.Capacity)
+		if sum > cold.Capacity {
+			t.Fatalf("total share is %d flows, capacity is %d", sum, cold.Capacity)
 		}
 	})
 }
 
-// TestTurns checks that the flows of many cold upstreams fall to all instances in like parts.
-func TestTurns(t *testing.T) {
+// TestShareIsEven checks that the flows to many cold upstreams are distributed evenly over all instances.
+func TestShareIsEven(t *testing.T) {
 	const upstreams, instances = 600, 24
 	is := is.New(t)
 	got := make([]int, instances)
 	for u := range upstreams {
 		for n := range instances {
-			c := allot.ColdUpstream{
+			cold := allot.ColdUpstream{
 				Upstream: model.UpstreamID(fmt.Sprintf("up-%d", u)), Capacity: 5, Local: true, Domains: 4,
 				Ordinal: model.Ordinal{Index: n, Count: instances},
 			}
-			got[n] += c.Share()
+			got[n] += cold.Share()
 		}
 	}
 	for _, n := range got {
@@ -55,92 +55,93 @@
 }
 
 const (
-	life  = 3 * time.Second
-	trust = 2 * time.Second
-	// believed is how long an instance believes in its number after it was told: below life, for replies that are on their way.
-	believed = 1400 * time.Millisecond
-	step     = 100 * time.Millisecond
-	reads    = time.Second
-	most     = 8
+	ordinalTTL      = 3 * time.Second
+	confirmationTTL = 2 * time.Second
+	// ordinalValidity is how long an instance considers its ordinal valid after it received it. It is below ordinalTTL to allow for the time
+	// that a reply takes.
+	ordinalValidity = 1400 * time.Millisecond
+	step            = 100 * time.Millisecond
+	readInterval    = time.Second
+	instanceCount   = 8
 )
 
-// holder is one instance with what it believes.
-type holder struct {
-	id    model.InstanceID
-	place model.Ordinal
-	until model.Instant
-	asked model.Instant
-	gone  bool
-	// cut is set while the store does not answer the instance.
-	cut  bool
-	book *allot.Allocator
-	// seat is what the instance last read of who reads.
-	reading bool
-	read    model.Instant
+// testInstance is an instance with the ordinal that it considers valid.
+type testInstance struct {
+	id         model.InstanceID
+	ordinal    model.Ordinal
+	validUntil model.Instant
+	renewedAt  model.Instant
+	stopped    bool
+	// disconnected is true while the store does not answer the instance.
+	disconnected bool
+	allocator    *allot.Allocator
+	// isReader is whether the instance is the reader according to its last read of the store, at readAt.
+	isReader bool
+	readAt   model.Instant
 }
 
-// TestBook lets instances come, go, lose the store and become the one that reads in any order: no two of them ever believe in the same
-// number, and nobody believes in fewer numbers than are in use.
-func TestBook(t *testing.T) {
+// TestAllocator lets instances start, stop, lose the connection to the store and become the reader in any order. No two instances may
+// consider the same ordinal valid, and no instance may know a count that is less than or equal to a valid ordinal.
+func TestAllocator(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := model.Instant(time.Minute)
-		var all []*holder
-		for n := range most {
-			h := &holder{id: model.InstanceID(fmt.Sprint(n)), book: allot.NewAllocator(allot.AllocatorConfig{OrdinalTTL: life, ConfirmationTTL: trust})}
-			all = append(all, h)
+		var all []*testInstance
+		for n := range instanceCount {
+			inst := &testInstance{id: model.InstanceID(fmt.Sprint(n)), allocator: allot.NewAllocator(allot.AllocatorConfig{OrdinalTTL: ordinalTTL, ConfirmationTTL: confirmationTTL})}
+			all = append(all, inst)
 		}
-		seat := 0
+		reader := 0
 		for range rapid.IntRange(200, 600).Draw(t, "steps") {
 			now = now.Add(step)
-			h := all[rapid.IntRange(0, most-1).Draw(t, "who")]
+			inst := all[rapid.IntRange(0, instanceCount-1).Draw(t, "who")]
 			switch rapid.IntRange(0, 120).Draw(t, "event") {
 			case 0:
-				seat, h.read, h.cut, h.gone = slices.Index(all, h), 0, false, false
+				reader, inst.readAt, inst.disconnected, inst.stopped = slices.Index(all, inst), 0, false, false
 			case 1, 2, 3:
-				h.gone = !h.gone
+				inst.stopped = !inst.stopped
 			case 4, 5:
-				h.cut = !h.cut
+				inst.disconnected = !inst.disconnected
 			}
-			for n, h := range all {
-				if h.gone {
+			for n, inst := range all {
+				if inst.stopped {
 					continue
 				}
-				if now.Sub(h.read) >= reads && !h.cut {
-					h.read, h.reading = now, n == seat
-					h.book.Confirm(now, now, h.reading)
+				if now.Sub(inst.readAt) >= readInterval && !inst.disconnected {
+					inst.readAt, inst.isReader = now, n == reader
+					inst.allocator.Confirm(now, now, inst.isReader)
 				}
-				if now.Sub(h.asked) < reads {
+				if now.Sub(inst.renewedAt) < readInterval {
 					continue
 				}
-				// An instance may ask one that has read for the domain until lately.
-				peer := all[rapid.SampledFrom([]int{seat, seat, n}).Draw(t, "asked")]
-				if !peer.gone {
-					h.asked, h.place, h.until = now, peer.book.Assign(now, h.id), now.Add(believed)
+				// An instance may ask an instance that is no longer the reader.
+				peer := all[rapid.SampledFrom([]int{reader, reader, n}).Draw(t, "asked")]
+				if !peer.stopped {
+					inst.renewedAt, inst.ordinal, inst.validUntil = now, peer.allocator.Assign(now, inst.id), now.Add(ordinalValidity)
 				}
 			}
-			checkNumbers(t, now, all)
+			checkOrdinals(t, now, all)
 		}
 	})
 }
 
-func checkNumbers(t *rapid.T, now model.Instant, all []*holder) {
+func checkOrdinals(t *rapid.T, now model.Instant, all []*testInstance) {
 	owner := map[int]model.InstanceID{}
-	for _, h := range all {
-		if h.place.Count == 0 || now >= h.until {
+	for _, inst := range all {
+		if inst.ordinal.Count == 0 || now >= inst.validUntil {
 			continue
 		}
-		if other, taken := owner[h.place.Index]; taken {
-			t.Fatalf("%s and %s both believe in number %d", other, h.id, h.place.Index)
+		if other, taken := owner[inst.ordinal.Index]; taken {
+			t.Fatalf("%s and %s both consider ordinal %d valid", other, inst.id, inst.ordinal.Index)
 		}
-		owner[h.place.Index] = h.id
+		owner[inst.ordinal.Index] = inst.id
 	}
-	for _, h := range all {
-		if h.place.Count == 0 || now >= h.until {
+	for _, inst := range all {
+		if inst.ordinal.Count == 0 || now >= inst.validUntil {
 			continue
 		}
 		for n, id := range owner {
-			if n >= h.place.Count {
-				t.Fatalf("%s has number %d, and %s believes in %d only", id, n, h.id, h.place.Count)
+			if n >= inst.ordinal.Count {
+				t.Fatalf("%s has ordinal %d, but %s knows a count of only %d", id, n, inst.id, inst.ordinal.Count)
 			}
 		}
 	}
--- a/internal/core/choose/budget.go
+++ b/internal/core/choose/budget.go
@@ -1,28 +1,29 @@
 package choose
 
 const (
-	budgetBurst    = 10.0
-	percentPerUnit = 100.0
+	// budgetBurst is the maximum credit, in retries.
+	budgetBurst      = 10.0
+	percentPerCredit = 100.0
 )
 
-// RetryBudget bounds second tries to a share of first ones; a small burst is always there.
+// RetryBudget limits retries to a percentage of first attempts. It is a token bucket that starts with budgetBurst credits.
 type RetryBudget struct {
-	// Percent is the share of first tries that may be repeated.
+	// Percent is the number of retries allowed per 100 first attempts.
 	Percent int
-	// credit is at most budgetBurst.
-	credit float64
-	filled bool
+	// credit is the number of retries that are currently allowed; at most budgetBurst.
+	credit      float64
+	initialized bool
 }
 
-// Deposit adds the credit of one first try.
+// Deposit adds the credit for one first attempt.
 func (b *RetryBudget) Deposit() {
-	b.fill()
-	b.credit = min(b.credit+float64(b.Percent)/percentPerUnit, budgetBurst)
+	b.initialize()
+	b.credit = min(b.credit+float64(b.Percent)/percentPerCredit, budgetBurst)
 }
 
-// TryWithdraw takes the credit of one second try; it reports false when there is none.
+// TryWithdraw takes the credit of one retry. It reports whether there was enough.
 func (b *RetryBudget) TryWithdraw() bool {
-	b.fill()
+	b.initialize()
 	if b.credit < 1 {
 		return false
 	}
@@ -30,8 +31,8 @@
 	return true
 }
 
-func (b *RetryBudget) fill() {
-	if !b.filled {
-		b.credit, b.filled = budgetBurst, true
+func (b *RetryBudget) initialize() {
+	if !b.initialized {
+		b.credit, b.initialized = budgetBurst, true
 	}
 }
--- a/internal/core/choose/choose.go
+++ b/internal/core/choose/choose.go
@@ -1,4 +1,4 @@
-// Package choose picks one of several free upstreams.
+// Package choose provides policies for selecting one of several upstreams, a latency average and a retry budget.
 package choose
 
 import (
@@ -6,15 +6,17 @@
 	"time"
 )
 
-// Policy picks an index out of candidates, of which there is at least one.
+// Policy selects one of several candidates.
 type Policy[T any] interface {
+	// Pick returns the index of the selected candidate; there must be at least one. It may reorder candidates: the index refers to the
+	// slice after the call.
 	Pick(candidates []T, rng *rand.Rand) int
 }
 
-// Score tells how good a candidate is; a lower one is better.
+// Score rates a candidate; lower is better.
 type Score[T any] func(T) float64
 
-// TwoChoices picks the better of two random candidates.
+// TwoChoices picks the better of two random candidates (power of two choices).
 type TwoChoices[T any] struct {
 	Score Score[T]
 }
@@ -29,26 +31,26 @@
 	return a
 }
 
-// BestOf picks the best of N random candidates.
+// BestOf picks the best of N random candidates, drawn with replacement.
 type BestOf[T any] struct {
-	// N is at least one.
+	// N is the sample size; at least one.
 	N     int
 	Score Score[T]
 }
 
 // Pick implements Policy.
 func (p BestOf[T]) Pick(candidates []T, rng *rand.Rand) int {
-	best, top := -1, 0.0
+	best, bestScore := -1, 0.0
 	for range p.N {
 		i := rng.IntN(len(candidates))
-		if score := p.Score(candidates[i]); best < 0 || score < top {
-			best, top = i, score
+		if score := p.Score(candidates[i]); best < 0 || score < bestScore {
+			best, bestScore = i, score
 		}
 	}
 	return best
 }
 
-// Random picks any candidate.
+// Random picks a candidate at random, with equal probabilities.
 type Random[T any] struct{}
 
 // Pick implements Policy.
@@ -56,49 +58,53 @@
 	return rng.IntN(len(candidates))
 }
 
-// Least picks the best of all candidates.
+// Least picks the candidate with the lowest score; the first of several.
 type Least[T any] struct {
 	Score Score[T]
 }
 
 // Pick implements Policy.
 func (p Least[T]) Pick(candidates []T, _ *rand.Rand) int {
-	best, top := 0, 0.0
+	best, bestScore := 0, 0.0
 	for i, c := range candidates {
 		score := p.Score(c)
-		if i == 0 || score < top {
-			best, top = i, score
+		if i == 0 || score < bestScore {
+			best, bestScore = i, score
 		}
 	}
 	return best
 }
 
 const (
-	gain       = 0.1
-	stepBound  = 2.0
-	firstGuess = 20 * time.Millisecond
+	// sampleWeight is the weight of one sample in the moving average.
+	sampleWeight = 0.1
+	// maxStepFactor limits samples to between half and twice the current mean.
+	maxStepFactor = 2.0
+	// initialMean is the mean that is assumed before the first sample.
+	initialMean = 20 * time.Millisecond
 )
 
-// LatencyAverage follows the service time of one upstream; one sample moves it little.
+// LatencyAverage is an exponentially weighted moving average of the service time of one upstream. Outliers have little influence, because
+// samples are clamped to a factor of maxStepFactor around the current mean.
 type LatencyAverage struct {
 	mean float64
 }
 
-// Observe adds the time that one request took.
-func (s *LatencyAverage) Observe(d time.Duration) {
+// Observe adds the duration of one request.
+func (l *LatencyAverage) Observe(d time.Duration) {
 	sample := max(float64(d), 1)
-	if s.mean == 0 {
-		s.mean = sample
+	if l.mean == 0 {
+		l.mean = sample
 		return
 	}
-	sample = min(max(sample, s.mean/stepBound), s.mean*stepBound)
-	s.mean += gain * (sample - s.mean)
+	sample = min(max(sample, l.mean/maxStepFactor), l.mean*maxStepFactor)
+	l.mean += sampleWeight * (sample - l.mean)
 }
 
-// Mean returns the expected time of one request.
-func (s *LatencyAverage) Mean() time.Duration {
-	if s.mean == 0 {
-		return firstGuess
+// Mean returns the average duration of a request; initialMean before the first sample.
+func (l *LatencyAverage) Mean() time.Duration {
+	if l.mean == 0 {
+		return initialMean
 	}
-	return time.Duration(s.mean)
+	return time.Duration(l.mean)
 }
--- a/internal/core/choose/choose_test.go
+++ b/internal/core/choose/choose_test.go
@@ -12,7 +12,7 @@
 
 func score(n int) float64 { return float64(n) }
 
-// TestPolicies checks how often each policy picks the best of four.
+// TestPolicies checks how often each policy picks the best of four candidates.
 func TestPolicies(t *testing.T) {
 	const picks = 10_000
 	cases := map[string]struct {
@@ -40,25 +40,25 @@
 	}
 }
 
-func TestBudget(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
 	b := choose.RetryBudget{Percent: 10}
-	spent := 0
+	withdrawn := 0
 	for b.TryWithdraw() {
-		spent++
+		withdrawn++
 	}
-	is.Equal(spent, 10)
+	is.Equal(withdrawn, 10)
 	for range 100 {
 		b.Deposit()
 	}
 	for b.TryWithdraw() {
-		spent++
+		withdrawn++
 	}
-	is.True(spent >= 19 && spent <= 20)
+	is.True(withdrawn >= 19 && withdrawn <= 20)
 }
 
-// TestSpeed checks that one odd sample moves the mean little and many move it all the way.
-func TestSpeed(t *testing.T) {
+// TestLatencyAverage checks that one outlier changes the mean only a little and that many equal samples change it completely.
+func TestLatencyAverage(t *testing.T) {
 	is := is.New(t)
 	var s choose.LatencyAverage
 	s.Observe(10 * time.Millisecond)
--- a/internal/core/health/health.go
+++ b/internal/core/health/health.go
@@ -1,4 +1,5 @@
-// Package health judges from real flows, confirmed by probes, whether an upstream or a whole failure domain can be reached.
+// Package health decides whether an upstream or a whole failure domain is reachable, from passive observation of flows and from active
+// probes that confirm it.
 package health
 
 import (
@@ -8,193 +9,200 @@
 )
 
 const (
-	// missLimit bars an upstream: one lost packet is ordinary, two in a row without a sign of life between them are not.
-	missLimit = 2
-	// domainLimit is how many upstreams of a failure domain must fail a probe before the path to the domain is taken as cut.
-	domainLimit = 2
-	// domainSilence is how long none of its upstreams may have shown a sign of life by then; all that were not heard of
-	// have been probed meanwhile.
-	domainSilence = 150 * time.Millisecond
-	// siblingSilence is after how long without a sign of life from a domain one failed probe casts doubt on all of it.
-	siblingSilence = 75 * time.Millisecond
-	// likelyLimit is how many probes must fail before a flow that gets no answer itself need not wait longer.
-	likelyLimit = 2
-	// certainLimit is how many must fail before an upstream is certain not to hear this instance, whatever a flow shows:
-	// a full link loses packets and probes alike.
-	certainLimit = 3
-	// firstPause is the time to the second probe of an upstream; a caller repeats data for the second time after 600 ms.
-	firstPause = 50 * time.Millisecond
-	// probeWait is far above the round trip within one region (3 ms); each failure doubles it, for a queue on a slow link.
-	probeWait = 50 * time.Millisecond
-	// probeWaitLimit is as long as a caller waits before it repeats data.
-	probeWaitLimit = 200 * time.Millisecond
-	// pauseGrowth lengthens the pause after each probe.
-	pauseGrowth = 2
-	// pauseLimit keeps the return of an upstream from going unnoticed; one probe a second is a hundredth of its work.
-	pauseLimit = time.Second
+	// ejectionTimeouts is the number of consecutive unanswered packets that ejects an upstream: a single lost packet is normal, two
+	// without an answer in between are not.
+	ejectionTimeouts = 2
+	// partitionFailures is the number of upstreams of a failure domain with a failed probe from which the domain may be considered
+	// partitioned from this instance.
+	partitionFailures = 2
+	// partitionIdle is the time since the last success of any upstream of the domain that is required as well. All upstreams without a
+	// success have been probed within this time.
+	partitionIdle = 150 * time.Millisecond
+	// suspicionIdle is the time since the last success in a failure domain after which one failed probe makes all its upstreams suspect.
+	suspicionIdle = 75 * time.Millisecond
+	// likelyFailures is the number of failed probes after which an upstream is unreachable for a flow that gets no answer itself.
+	likelyFailures = 2
+	// certainFailures is the number of failed probes after which an upstream is unreachable for all flows. It is higher because a
+	// saturated link loses packets and probes alike.
+	certainFailures = 3
+	// initialProbeInterval is the time between the first two probes of an upstream. For comparison, a caller retransmits data for the
+	// second time after 600 ms.
+	initialProbeInterval = 50 * time.Millisecond
+	// initialProbeTimeout is far above the round-trip time within one region (3 ms). Each failure doubles it, to allow for queueing on
+	// a slow link.
+	initialProbeTimeout = 50 * time.Millisecond
+	// maxProbeTimeout is the time after which a caller retransmits data.
+	maxProbeTimeout = 200 * time.Millisecond
+	// probeIntervalGrowth is the factor of the exponential backoff of probes.
+	probeIntervalGrowth = 2
+	// maxProbeInterval bounds the time until the recovery of an upstream is detected. One probe per second is about 1 % of its load.
+	maxProbeInterval = time.Second
 )
 
-// Outcome is what a probe showed.
+// Outcome is the result of a probe.
 type Outcome uint8
 
-// The outcomes of probes.
+// Outcomes of probes.
 const (
-	// OutcomeAnswered means that the upstream's machine can be reached.
+	// OutcomeAnswered means that the upstream's host is reachable.
 	OutcomeAnswered Outcome = iota + 1
-	// OutcomeFailed means that there was no answer in time or that the connection was refused; a cut may do either.
+	// OutcomeFailed means that the probe timed out or that the connection was refused; a network partition may cause either.
 	OutcomeFailed
-	// OutcomeInconclusive means that this instance stood still meanwhile, so that the silence may be its own.
+	// OutcomeInconclusive means that this instance was paused during the probe, which may be why no answer arrived in time.
 	OutcomeInconclusive
 )
 
-// Tracker follows the signs of life of one upstream; its zero value knows nothing and trusts.
+// Tracker tracks the reachability of one upstream. The zero value is an upstream that is considered reachable.
 type Tracker struct {
-	// misses counts the packets without an answer since the last sign of life.
-	misses int
-	// failed counts the probes that failed since the last sign of life.
-	failed int
-	// since is when the first unanswered packet was sent.
-	since model.Instant
-	// life is the last sign of life.
-	life model.Instant
-	// path is set if the upstream's whole failure domain was silent with it.
-	path bool
-	// probing is set while a probe is under way.
+	// timeouts is the number of unanswered packets since the last success.
+	timeouts int
+	// probeFailures is the number of failed probes since the last success.
+	probeFailures int
+	// unansweredSince is when the first of the unanswered packets was sent.
+	unansweredSince model.Instant
+	// lastSuccess is when an answer was last seen in a flow.
+	lastSuccess model.Instant
+	// pathDown is true if the upstream's whole failure domain was considered partitioned when its probes failed.
+	pathDown bool
+	// probing is true while a probe is in flight.
 	probing bool
-	// next is when the next probe may begin.
-	next  model.Instant
-	pause time.Duration
+	// nextProbe is the earliest time of the next probe.
+	nextProbe model.Instant
+	// probeInterval is the current backoff between probes.
+	probeInterval time.Duration
 }
 
-// RecordSuccess notes a sign of life in a flow.
+// RecordSuccess records that a flow got an answer from the upstream.
 func (t *Tracker) RecordSuccess(now model.Instant) {
-	*t = Tracker{life: now, probing: t.probing}
+	*t = Tracker{lastSuccess: now, probing: t.probing}
 }
 
-// RecordTimeout notes that a packet sent at the instant got no answer in time; one sent before the last sign of life says nothing.
+// RecordTimeout records that a packet sent at the given time got no answer in time. A packet sent before the last success is ignored.
 func (t *Tracker) RecordTimeout(sent model.Instant) {
-	if sent < t.life {
+	if sent < t.lastSuccess {
 		return
 	}
-	if t.misses == 0 || sent < t.since {
-		t.since = sent
+	if t.timeouts == 0 || sent < t.unansweredSince {
+		t.unansweredSince = sent
 	}
-	t.misses++
+	t.timeouts++
 }
 
-// MarkSuspect lets a probe find out about an upstream that was not used lately.
+// MarkSuspect makes the upstream eligible for a probe although none of its packets has timed out.
 func (t *Tracker) MarkSuspect(now model.Instant) {
-	if t.misses == 0 && t.failed == 0 {
-		t.misses, t.since = 1, now
+	if t.timeouts == 0 && t.probeFailures == 0 {
+		t.timeouts, t.unansweredSince = 1, now
 	}
 }
 
-// StartProbe reports whether a probe must begin now; Probed must follow.
+// StartProbe reports whether the caller must start a probe now. If so, the caller must report the outcome with FinishProbe.
 func (t *Tracker) StartProbe(now model.Instant) bool {
-	if t.probing || now < t.next || (t.misses == 0 && t.failed == 0) {
+	if t.probing || now < t.nextProbe || (t.timeouts == 0 && t.probeFailures == 0) {
 		return false
 	}
 	t.probing = true
 	return true
 }
 
-// ProbeTimeout returns how long the probe that begins now may take.
+// ProbeTimeout returns the timeout of a probe that starts now.
 func (t *Tracker) ProbeTimeout() time.Duration {
-	return min(probeWait<<min(t.failed, 2), probeWaitLimit)
+	return min(initialProbeTimeout<<min(t.probeFailures, 2), maxProbeTimeout)
 }
 
-// FinishProbe notes the outcome of a probe. One that succeeds proves the path, not that flows are served: if packets still go
-// unanswered after it, the next probe waits longer.
+// FinishProbe records the outcome of a probe. An answered probe proves that the path works, not that the upstream serves flows, so it
+// does not reset the backoff of probes; only RecordSuccess does.
 func (t *Tracker) FinishProbe(now model.Instant, outcome Outcome) {
 	t.probing = false
-	t.pause = min(max(t.pause*pauseGrowth, firstPause), pauseLimit)
-	t.next = now.Add(t.pause)
+	t.probeInterval = min(max(t.probeInterval*probeIntervalGrowth, initialProbeInterval), maxProbeInterval)
+	t.nextProbe = now.Add(t.probeInterval)
 	switch outcome {
 	case OutcomeAnswered:
-		t.misses, t.failed, t.path = 0, 0, false
+		t.timeouts, t.probeFailures, t.pathDown = 0, 0, false
 	case OutcomeFailed:
-		if t.misses > 0 || t.failed > 0 {
-			t.failed++
+		if t.timeouts > 0 || t.probeFailures > 0 {
+			t.probeFailures++
 		}
 	}
 }
 
-// ExpediteProbe lets the next probe begin at once.
+// ExpediteProbe allows the next probe to start immediately.
 func (t *Tracker) ExpediteProbe() {
-	t.next = 0
+	t.nextProbe = 0
 }
 
-// Ejected reports whether new flows belong elsewhere.
+// Ejected reports whether the upstream must not get new flows.
 func (t *Tracker) Ejected() bool {
-	return t.misses >= missLimit || t.failed > 0
+	return t.timeouts >= ejectionTimeouts || t.probeFailures > 0
 }
 
-// Unreachable reports whether flows and probes went unanswered for so long, without a sign of life between them, that a
-// flow is better off elsewhere; waits tells whether the flow itself got no answer.
-func (t *Tracker) Unreachable(waits bool) bool {
-	return t.failed >= certainLimit || (waits && t.failed >= likelyLimit)
+// Unreachable reports whether so many probes have failed since the last success that an open flow has a better chance at another upstream;
+// unanswered states whether the flow itself is waiting for an answer.
+func (t *Tracker) Unreachable(unanswered bool) bool {
+	return t.probeFailures >= certainFailures || (unanswered && t.probeFailures >= likelyFailures)
 }
 
-// MarkPathDown notes that the path to the upstream's whole failure domain is taken as cut.
+// MarkPathDown records that the upstream's whole failure domain is considered partitioned, so that the failed probes do not show that the
+// upstream itself is down.
 func (t *Tracker) MarkPathDown() {
-	t.path = t.failed > 0
+	t.pathDown = t.probeFailures > 0
 }
 
-// Down reports whether the upstream itself seems to have ended: should it come back, it may have restarted.
+// Down reports whether the upstream itself, rather than the path to it, seems to be down. If it answers again, it may have restarted.
 func (t *Tracker) Down() bool {
-	return t.failed >= likelyLimit && !t.path
+	return t.probeFailures >= likelyFailures && !t.pathDown
 }
 
-// Timeouts returns how many packets in a row got no answer.
+// Timeouts returns the number of consecutive unanswered packets.
 func (t *Tracker) Timeouts() int {
-	return t.misses
+	return t.timeouts
 }
 
-// UnansweredFor returns how long there was no answer although packets were sent.
+// UnansweredFor returns the time since the first of the consecutive unanswered packets was sent; zero if there are none.
 func (t *Tracker) UnansweredFor(now model.Instant) time.Duration {
-	if t.misses == 0 {
+	if t.timeouts == 0 {
 		return 0
 	}
-	return now.Sub(t.since)
+	return now.Sub(t.unansweredSince)
 }
 
-// DomainTracker follows the path to one failure domain; its zero value trusts.
+// DomainTracker tracks the reachability of one failure domain. The zero value is a domain that is considered reachable.
 type DomainTracker struct {
-	// failed holds the upstreams whose probes failed since the last sign of life of any of the domain's.
-	failed map[model.UpstreamID]bool
-	// life is the last sign of life of any of them.
-	life model.Instant
-	// cut is set while the path is taken as cut.
-	cut bool
+	// failedProbes is the set of upstreams with a failed probe since the last success of any upstream of the domain.
+	failedProbes map[model.UpstreamID]bool
+	// lastSuccess is the time of that success.
+	lastSuccess model.Instant
+	// partitioned is true while the domain is considered partitioned from this instance.
+	partitioned bool
 }
 
-// RecordSuccess notes a sign of life of any upstream of the domain; it reports whether the path had been taken as cut.
+// RecordSuccess records that any upstream of the domain answered. It reports whether the domain was considered partitioned until now.
 func (d *DomainTracker) RecordSuccess(now model.Instant) bool {
-	was := d.cut
-	d.life, d.cut = now, false
-	clear(d.failed)
-	return was
+	wasPartitioned := d.partitioned
+	d.lastSuccess, d.partitioned = now, false
+	clear(d.failedProbes)
+	return wasPartitioned
 }
 
-// RecordProbeFailure notes that a probe of one upstream failed; it reports whether the path is taken as cut from now on.
+// RecordProbeFailure records a failed probe of one upstream. It reports whether the domain is considered partitioned from now on and was
+// not before.
 func (d *DomainTracker) RecordProbeFailure(now model.Instant, id model.UpstreamID) bool {
-	if d.failed == nil {
-		d.failed = map[model.UpstreamID]bool{}
+	if d.failedProbes == nil {
+		d.failedProbes = map[model.UpstreamID]bool{}
 	}
-	d.failed[id] = true
-	if d.cut || len(d.failed) < domainLimit || now.Sub(d.life) < domainSilence {
+	d.failedProbes[id] = true
+	if d.partitioned || len(d.failedProbes) < partitionFailures || now.Sub(d.lastSuccess) < partitionIdle {
 		return false
 	}
-	d.cut = true
+	d.partitioned = true
 	return true
 }
 
-// Suspected reports whether the domain was silent for so long that one failed probe concerns all of it.
+// Suspected reports whether the last success in the domain is so long ago that one failed probe makes all its upstreams suspect.
 func (d *DomainTracker) Suspected(now model.Instant) bool {
-	return now.Sub(d.life) >= siblingSilence
+	return now.Sub(d.lastSuccess) >= suspicionIdle
 }
 
-// Partitioned reports whether the path to the whole domain is taken as cut.
+// Partitioned reports whether the domain is considered partitioned from this instance.
 func (d *DomainTracker) Partitioned() bool {
-	return d.cut
+	return d.partitioned
 }
--- a/internal/core/health/health_test.go
+++ b/internal/core/health/health_test.go
@@ -14,139 +14,139 @@
 	return model.Instant(time.Duration(ms) * time.Millisecond)
 }
 
-// TestTrack replays what one instance sees of one upstream.
-func TestTrack(t *testing.T) {
+// TestTracker checks the state of an upstream after sequences of successes, timeouts and probes.
+func TestTracker(t *testing.T) {
 	cases := map[string]struct {
-		play   func(*health.Tracker)
-		barred bool
-		// likely and certain are for flows that wait themselves and for all.
+		steps   func(*health.Tracker)
+		ejected bool
+		// likely is the result of Unreachable for a flow without an answer, certain that for all other flows.
 		likely, certain bool
 	}{
-		"nothing is known": {play: func(*health.Tracker) {}},
-		"one packet is lost": {
-			play: func(k *health.Tracker) { k.RecordTimeout(at(10)) },
+		"zero value": {steps: func(*health.Tracker) {}},
+		"one timeout": {
+			steps: func(tr *health.Tracker) { tr.RecordTimeout(at(10)) },
 		},
-		"two packets in a row are lost": {
-			play:   func(k *health.Tracker) { k.RecordTimeout(at(10)); k.RecordTimeout(at(20)) },
-			barred: true,
+		"two consecutive timeouts": {
+			steps:   func(tr *health.Tracker) { tr.RecordTimeout(at(10)); tr.RecordTimeout(at(20)) },
+			ejected: true,
 		},
-		"a sign of life between two lost packets": {
-			play: func(k *health.Tracker) { k.RecordTimeout(at(10)); k.RecordSuccess(at(15)); k.RecordTimeout(at(20)) },
+		"success between two timeouts": {
+			steps: func(tr *health.Tracker) { tr.RecordTimeout(at(10)); tr.RecordSuccess(at(15)); tr.RecordTimeout(at(20)) },
 		},
-		"a packet sent before the last sign of life says nothing": {
-			play: func(k *health.Tracker) { k.RecordSuccess(at(30)); k.RecordTimeout(at(10)); k.RecordTimeout(at(20)) },
+		"timeouts of packets sent before the last success": {
+			steps: func(tr *health.Tracker) { tr.RecordSuccess(at(30)); tr.RecordTimeout(at(10)); tr.RecordTimeout(at(20)) },
 		},
-		"a request that leaves with the confirmation of a handshake counts": {
-			play:   func(k *health.Tracker) { k.RecordSuccess(at(30)); k.RecordTimeout(at(30)); k.RecordTimeout(at(30)) },
-			barred: true,
+		"timeouts of requests sent together with the last packet of the handshake": {
+			steps:   func(tr *health.Tracker) { tr.RecordSuccess(at(30)); tr.RecordTimeout(at(30)); tr.RecordTimeout(at(30)) },
+			ejected: true,
 		},
-		"one probe fails after a lost packet": {
-			play: func(k *health.Tracker) {
-				k.RecordTimeout(at(10))
-				k.StartProbe(at(11))
-				k.FinishProbe(at(111), health.OutcomeFailed)
+		"timeout and one failed probe": {
+			steps: func(tr *health.Tracker) {
+				tr.RecordTimeout(at(10))
+				tr.StartProbe(at(11))
+				tr.FinishProbe(at(111), health.OutcomeFailed)
 			},
-			barred: true,
+			ejected: true,
 		},
-		"two probes fail after a lost packet": {
-			play: func(k *health.Tracker) {
-				k.RecordTimeout(at(10))
-				k.StartProbe(at(11))
-				k.FinishProbe(at(111), health.OutcomeFailed)
-				k.StartProbe(at(311))
-				k.FinishProbe(at(411), health.OutcomeFailed)
+		"timeout and two failed probes": {
+			steps: func(tr *health.Tracker) {
+				tr.RecordTimeout(at(10))
+				tr.StartProbe(at(11))
+				tr.FinishProbe(at(111), health.OutcomeFailed)
+				tr.StartProbe(at(311))
+				tr.FinishProbe(at(411), health.OutcomeFailed)
 			},
-			barred: true, likely: true,
+			ejected: true, likely: true,
 		},
-		"three probes fail after a lost packet": {
-			play: func(k *health.Tracker) {
-				k.RecordTimeout(at(10))
+		"timeout and three failed probes": {
+			steps: func(tr *health.Tracker) {
+				tr.RecordTimeout(at(10))
 				for ms := 11; ms < 1000; ms += 300 {
-					k.StartProbe(at(ms))
-					k.FinishProbe(at(ms+100), health.OutcomeFailed)
+					tr.StartProbe(at(ms))
+					tr.FinishProbe(at(ms+100), health.OutcomeFailed)
 				}
 			},
-			barred: true, likely: true, certain: true,
+			ejected: true, likely: true, certain: true,
 		},
-		"a probe that fails while this instance stands still": {
-			play: func(k *health.Tracker) {
-				k.RecordTimeout(at(10))
-				k.StartProbe(at(11))
-				k.FinishProbe(at(111), health.OutcomeInconclusive)
+		"timeout and an inconclusive probe": {
+			steps: func(tr *health.Tracker) {
+				tr.RecordTimeout(at(10))
+				tr.StartProbe(at(11))
+				tr.FinishProbe(at(111), health.OutcomeInconclusive)
 			},
 		},
-		"a probe that is answered after two failed": {
-			play: func(k *health.Tracker) {
-				k.RecordTimeout(at(10))
-				k.StartProbe(at(11))
-				k.FinishProbe(at(111), health.OutcomeFailed)
-				k.FinishProbe(at(411), health.OutcomeFailed)
-				k.FinishProbe(at(900), health.OutcomeAnswered)
+		"answered probe after two failed ones": {
+			steps: func(tr *health.Tracker) {
+				tr.RecordTimeout(at(10))
+				tr.StartProbe(at(11))
+				tr.FinishProbe(at(111), health.OutcomeFailed)
+				tr.FinishProbe(at(411), health.OutcomeFailed)
+				tr.FinishProbe(at(900), health.OutcomeAnswered)
 			},
 		},
-		"a sign of life while a probe that will fail is under way": {
-			play: func(k *health.Tracker) {
-				k.RecordTimeout(at(10))
-				k.StartProbe(at(11))
-				k.RecordSuccess(at(50))
-				k.FinishProbe(at(111), health.OutcomeFailed)
+		"success during a probe that fails": {
+			steps: func(tr *health.Tracker) {
+				tr.RecordTimeout(at(10))
+				tr.StartProbe(at(11))
+				tr.RecordSuccess(at(50))
+				tr.FinishProbe(at(111), health.OutcomeFailed)
 			},
 		},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var k health.Tracker
-			tc.play(&k)
-			is.Equal(k.Ejected(), tc.barred)
-			is.Equal(k.Unreachable(true), tc.likely)
-			is.Equal(k.Unreachable(false), tc.certain)
+			var tr health.Tracker
+			tc.steps(&tr)
+			is.Equal(tr.Ejected(), tc.ejected)
+			is.Equal(tr.Unreachable(true), tc.likely)
+			is.Equal(tr.Unreachable(false), tc.certain)
 		})
 	}
 }
 
-// TestProbePace checks that an upstream that accepts connections but serves no flow is probed less and less.
-func TestProbePace(t *testing.T) {
+// TestProbeBackoff checks that the interval between probes grows to its maximum if an upstream answers probes but no flows.
+func TestProbeBackoff(t *testing.T) {
 	is := is.New(t)
-	var k health.Tracker
+	var tr health.Tracker
 	var gaps []time.Duration
 	last := model.Instant(0)
 	for ms := 0; ms < 5000; ms++ {
-		if k.Timeouts() == 0 {
-			k.RecordTimeout(at(ms))
+		if tr.Timeouts() == 0 {
+			tr.RecordTimeout(at(ms))
 		}
-		if k.StartProbe(at(ms)) {
+		if tr.StartProbe(at(ms)) {
 			gaps = append(gaps, at(ms).Sub(last))
 			last = at(ms)
-			k.FinishProbe(at(ms), health.OutcomeAnswered)
+			tr.FinishProbe(at(ms), health.OutcomeAnswered)
 		}
 	}
 	is.Equal(gaps[:5], []time.Duration{0, 50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond})
 	is.Equal(gaps[len(gaps)-1], time.Second)
 }
 
-// TestDomain replays what one instance sees of the upstreams of one failure domain.
-func TestDomain(t *testing.T) {
+// TestDomainTracker checks whether a failure domain is considered partitioned after sequences of successes and failed probes.
+func TestDomainTracker(t *testing.T) {
 	cases := map[string]struct {
-		play func(*health.DomainTracker)
-		cut  bool
+		steps       func(*health.DomainTracker)
+		partitioned bool
 	}{
-		"one upstream died": {
-			play: func(d *health.DomainTracker) {
+		"one upstream fails": {
+			steps: func(d *health.DomainTracker) {
 				d.RecordProbeFailure(at(1000), "a")
 				d.RecordProbeFailure(at(1300), "a")
 			},
 		},
-		"two upstreams fail and none lives": {
-			play: func(d *health.DomainTracker) {
+		"two upstreams fail and none answers": {
+			steps: func(d *health.DomainTracker) {
 				d.RecordProbeFailure(at(1000), "a")
 				d.RecordProbeFailure(at(1010), "b")
 			},
-			cut: true,
+			partitioned: true,
 		},
-		// On a grown site 27 upstreams died at once in three domains of 50.
-		"many died at once while others of the domain live": {
-			play: func(d *health.DomainTracker) {
+		// At one large site, 27 upstreams failed simultaneously in three domains of 50 upstreams.
+		"many upstreams fail simultaneously while others answer": {
+			steps: func(d *health.DomainTracker) {
 				for ms := 1000; ms < 2000; ms += 20 {
 					d.RecordSuccess(at(ms))
 					d.RecordProbeFailure(at(ms+5), "a")
@@ -155,8 +155,8 @@
 				}
 			},
 		},
-		"the path is back": {
-			play: func(d *health.DomainTracker) {
+		"success after a partition": {
+			steps: func(d *health.DomainTracker) {
 				d.RecordProbeFailure(at(1000), "a")
 				d.RecordProbeFailure(at(1010), "b")
 				d.RecordSuccess(at(2000))
@@ -167,8 +167,8 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var d health.DomainTracker
-			tc.play(&d)
-			is.Equal(d.Partitioned(), tc.cut)
+			tc.steps(&d)
+			is.Equal(d.Partitioned(), tc.partitioned)
 		})
 	}
 }
--- a/internal/core/model/action.go
+++ b/internal/core/model/action.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// Verb says what an action does.
+// Verb is the kind of an Action.
 type Verb uint8
 
-// The verbs of actions.
+// Verbs of Action. VerbForward, VerbReset, VerbDrop and VerbProbe are also the verbs of direct.Action, which has fields of its own.
 const (
-	// VerbForward sends Raw to the upstream.
+	// VerbForward forwards Packet to Upstream at Address.
 	VerbForward Verb = iota + 1
-	// VerbHandOff hands the packet to a peer.
+	// VerbHandOff hands Packet off to the instance Peer.
 	VerbHandOff
-	// VerbHandOffAnswer hands the answer to a peer, which delivers it and awaits its acknowledgement.
+	// VerbHandOffAnswer hands Answer off to the instance Peer, which delivers it and receives the caller's acknowledgement.
 	VerbHandOffAnswer
-	// VerbDeliver sends Raw to the caller.
+	// VerbDeliver sends Raw to the caller; if Binding is set, it replaces the binding of the caller's stream.
 	VerbDeliver
-	// VerbChallenge asks the caller to repeat its request with Binding.
+	// VerbChallenge asks the caller to resend its request with Binding attached.
 	VerbChallenge
-	// VerbRefuse tells the caller that its request was not run.
+	// VerbRefuse tells the caller that its request was not executed and may be retried after RetryAfter.
 	VerbRefuse
-	// VerbOutcomeUnknown tells the caller that the outcome of its request is unknown.
+	// VerbOutcomeUnknown tells the caller that its request may or may not have been executed.
 	VerbOutcomeUnknown
-	// VerbDrop only counts.
+	// VerbDrop discards the packet or answer and increments the counter of Reason.
 	VerbDrop
-	// VerbReset ends a flow towards its caller.
+	// VerbReset sends a reset to the caller of a flow.
 	VerbReset
-	// VerbProbe asks whether an upstream can be reached.
+	// VerbProbe probes whether an upstream is reachable.
 	VerbProbe
 )
 
-// Action is one decision to carry out.
+// Action is one step that a decision engine asks its caller to carry out.
 type Action struct {
 	Verb   Verb
 	Reason Reason
-	// Packet is the caller's packet; nil for answers.
+	// Packet is the packet that the action applies to; nil if it applies to an answer.
 	Packet *Packet
-	// Answer is the upstream's answer; nil for packets.
+	// Answer is the upstream's answer that the action applies to; nil if it applies to a packet.
 	Answer *Answer
 	// Upstream and Address are set for VerbForward.
 	Upstream UpstreamID
 	Address  netip.AddrPort
-	// Peer is set for VerbHand and VerbHandAnswer.
+	// Peer is set for VerbHandOff and VerbHandOffAnswer.
 	Peer InstanceID
-	// Binding is set for VerbChallenge, and for VerbDeliver when a stream's binding is renewed.
+	// Binding is the encoded binding. It is set for VerbChallenge, and for VerbDeliver when a stream's binding is renewed.
 	Binding []byte
-	// RetryAfter is set for VerbRefuse.
+	// RetryAfter is how long the caller should wait before it retries; set for VerbRefuse.
 	RetryAfter time.Duration
-	// Raw is set for VerbDeliver.
+	// Raw is the datagram to send; set for VerbDeliver.
 	Raw []byte
 }
--- a/internal/core/model/document.go
+++ b/internal/core/model/document.go
@@ -5,99 +5,103 @@
 	"time"
 )
 
-// Kind is the wire that a service speaks.
+// Kind is the protocol of a service.
 type Kind uint8
 
-// The kinds of service.
+// Service kinds.
 const (
+	// KindCoAP is CoAP.
 	KindCoAP Kind = iota + 1
+	// KindDatagram is opaque datagrams, which are balanced per flow.
 	KindDatagram
 )
 
-// Document is what the operators decided, as one accepted version.
+// Document is one accepted version of the operators' configuration.
 type Document struct {
-	// Version is that of the platform's object and never falls on one instance.
+	// Version is the version of the object in the platform's store. The version in use on an instance never decreases.
 	Version Version
 	// Operation identifies the update that wrote this version.
 	Operation string
-	// Earlier identifies the updates before this one, the newest first.
+	// Earlier identifies the preceding updates, newest first.
 	Earlier []string
 	// Author is the operator who wrote this version.
 	Author string
-	// Note says why the document is as it is.
+	// Note is the operator's reason for this version.
 	Note string
-	// KeyEpoch is the newest generation of binding keys; it only grows.
+	// KeyEpoch is the newest generation of binding keys; it never decreases.
 	KeyEpoch Epoch
-	// Timing holds the intervals that every instance keeps to.
-	Timing Timing
-	// Domains holds each failure domain once.
+	Timing   Timing
+	// Domains lists the failure domains; IDs are unique.
 	Domains []Domain
-	// Services holds each service once; no two share an address.
+	// Services lists the services; IDs and addresses are unique.
 	Services []Service
 }
 
-// Timing holds the intervals that every instance keeps to.
+// Timing holds the durations that all instances must agree on.
 type Timing struct {
-	// Detection is the longest time in which a dead instance is noticed.
+	// Detection is the upper bound on the time between the failure of an instance and its detection by the others.
 	Detection time.Duration
-	// WarmLease is how long an answer proves that an upstream has not restarted.
+	// WarmLease is how long after an answer an upstream may be assumed not to have restarted.
 	WarmLease time.Duration
-	// BindingLife is how long a binding for one request is valid.
+	// BindingLife is the validity period of a binding for a single request.
 	BindingLife time.Duration
-	// StreamLife is how long a binding for a stream is valid.
+	// StreamLife is the validity period of a binding for a stream.
 	StreamLife time.Duration
 }
 
-// Domain is one failure domain.
+// Domain is the configuration of one failure domain.
 type Domain struct {
 	ID     DomainID
 	Region string
-	// Out is set while operators have taken the domain out.
-	Out  bool
+	// Out is true while operators have taken the domain out of service.
+	Out bool
+	// Note is the operator's remark on the domain.
 	Note string
 }
 
-// Service is one address that callers speak to.
+// Service is one address that callers send requests to, with the upstreams behind it.
 type Service struct {
 	ID      ServiceID
 	Kind    Kind
 	Address netip.AddrPort
-	// RequestTimeout bounds a request from its first packet to its answer.
+	// RequestTimeout is the maximum time from the first packet of a request to its answer.
 	RequestTimeout time.Duration
-	// RefreshInterval is how often callers refresh a stream.
+	// RefreshInterval is the interval at which callers refresh a stream.
 	RefreshInterval time.Duration
-	// QueueLimit is the most requests that wait at one instance.
+	// QueueLimit is the maximum number of requests that wait for a slot at one instance.
 	QueueLimit int
-	// RetryPercent bounds second tries to this share of first ones.
+	// RetryPercent is the maximum number of retries, as a percentage of first attempts.
 	RetryPercent int
-	Note         string
-	// Upstreams belong to this service alone.
+	// Note is the operator's remark on the service.
+	Note string
+	// Upstreams are the back ends; none is shared with another service.
 	Upstreams []Upstream
 }
 
-// Upstream is one back end of a service.
+// Upstream is the configuration of one back end of a service.
 type Upstream struct {
 	ID      UpstreamID
 	Domain  DomainID
 	Address netip.AddrPort
-	// Health is the address of the health and load endpoint; it may be invalid for none.
+	// Health is the address of the health and load endpoint; the zero AddrPort means that there is none.
 	Health netip.AddrPort
-	// Slots is the most requests that run at once.
+	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// Connections is the most streams that are open at once.
+	// Connections is the maximum number of open streams.
 	Connections int
-	// ColdSlots is the most requests at once during a cold start; at most Slots.
+	// ColdSlots is the maximum number of concurrent requests during a cold start; at most Slots.
 	ColdSlots int
-	// ColdConnections is the most streams opened during a cold start.
+	// ColdConnections is the maximum number of streams that are opened during a cold start.
 	ColdConnections int
-	// ColdFor is how long a cold start lasts.
+	// ColdFor is the duration of a cold start.
 	ColdFor time.Duration
-	// Leaving is set while operators want no new work there.
+	// Leaving is true while operators are draining the upstream: it gets no new work.
 	Leaving bool
-	Note    string
+	// Note is the operator's remark on the upstream.
+	Note string
 }
 
-// Domain returns the named failure domain.
+// Domain returns the failure domain with the ID; the boolean is false if the document has none.
 func (d *Document) Domain(id DomainID) (Domain, bool) {
 	for _, dom := range d.Domains {
 		if dom.ID == id {
@@ -107,7 +111,7 @@
 	return Domain{}, false
 }
 
-// Service returns the service at the address.
+// Service returns the service at the address, or nil.
 func (d *Document) Service(addr netip.AddrPort) *Service {
 	for i := range d.Services {
 		if d.Services[i].Address == addr {
--- a/internal/core/model/listing.go
+++ b/internal/core/model/listing.go
@@ -1,28 +1,28 @@
 package model
 
-// Listing is all readable objects of one kind at one revision.
+// Listing is the complete set of objects of one kind at one revision of the store.
 type Listing[T any] struct {
 	Items []T
-	// Unreadable names the objects whose content could not be understood.
+	// Unreadable names the objects that could not be decoded; they are not in Items.
 	Unreadable []string
 	Revision   Revision
 }
 
-// Changes is how the objects of one kind differ from what they were at an earlier revision.
+// Changes is the difference between the objects of one kind at two revisions of the store.
 type Changes[T any] struct {
-	// Items holds the objects that are new or different.
+	// Items holds the objects that were created or modified.
 	Items []T
-	// Deleted names the objects that are no more.
+	// Deleted names the objects that were deleted.
 	Deleted []string
-	// Unreadable names the new or different objects whose content could not be understood.
+	// Unreadable names the created or modified objects that could not be decoded.
 	Unreadable []string
-	// Newest is the revision of the last change; zero for none.
+	// Newest is the revision of the last change; zero if there is none.
 	Newest Revision
-	// Revision is up to where the changes are complete.
+	// Revision is the revision up to which the changes are complete.
 	Revision Revision
 }
 
-// Apply returns the listing after the changes; name returns what an object is called.
+// Apply returns the listing after the changes; name returns the name of an object. The receiver is not modified.
 func (l Listing[T]) Apply(c Changes[T], name func(*T) string) Listing[T] {
 	out := Listing[T]{Revision: max(l.Revision, c.Revision)}
 	out.Items = Merge(l.Items, c.Items, append(c.Deleted[:len(c.Deleted):len(c.Deleted)], c.Unreadable...), name)
@@ -35,46 +35,46 @@
 	return out
 }
 
-// Merge returns the items of have without those that are gone, with changed ones in their place and new ones behind.
-func Merge[T any](have, changed []T, gone []string, name func(*T) string) []T {
-	next := make(map[string]*T, len(changed))
+// Merge returns the current items with modified ones replaced in place, deleted ones removed and new ones appended.
+func Merge[T any](current, changed []T, deleted []string, name func(*T) string) []T {
+	updates := make(map[string]*T, len(changed))
 	for i := range changed {
-		next[name(&changed[i])] = &changed[i]
+		updates[name(&changed[i])] = &changed[i]
 	}
-	ended := make(map[string]bool, len(gone))
-	for _, id := range gone {
-		ended[id] = true
+	removed := make(map[string]bool, len(deleted))
+	for _, id := range deleted {
+		removed[id] = true
 	}
-	out := make([]T, 0, len(have)+len(changed))
-	for i := range have {
-		id := name(&have[i])
-		switch item := next[id]; {
+	out := make([]T, 0, len(current)+len(changed))
+	for i := range current {
+		id := name(&current[i])
+		switch item := updates[id]; {
 		case item != nil:
 			out = append(out, *item)
-			delete(next, id)
-		case !ended[id]:
-			out = append(out, have[i])
+			delete(updates, id)
+		case !removed[id]:
+			out = append(out, current[i])
 		}
 	}
 	for i := range changed {
-		if next[name(&changed[i])] != nil {
+		if updates[name(&changed[i])] != nil {
 			out = append(out, changed[i])
 		}
 	}
 	return out
 }
 
-// UpstreamName returns the name of an upstream's entry.
+// UpstreamName returns the name of a registration in the store.
 func UpstreamName(r *Registration) string {
 	return string(r.ID)
 }
 
-// DomainName returns the name of a failure domain.
+// DomainName returns the name of a failure domain in the store.
 func DomainName(d *DomainID) string {
 	return string(*d)
 }
 
-// RouteName returns the name of a route.
+// RouteName returns the name of a route in the route table.
 func RouteName(r *Route) string {
 	return r.Name
 }
--- a/internal/core/model/packet.go
+++ b/internal/core/model/packet.go
@@ -2,65 +2,66 @@
 
 import "net/netip"
 
-// Class is what a packet asks of the instances; each class has its own rule of forwarding.
+// Class determines how the instances forward a packet.
 type Class uint8
 
-// The classes of packets from callers.
+// Classes of packets from callers.
 const (
 	// ClassIdempotent is an idempotent request that any upstream of the service may answer.
 	ClassIdempotent Class = iota + 1
-	// ClassSticky opens or refreshes a stream, or carries one block of an idempotent transfer.
+	// ClassSticky is a packet that opens or refreshes a stream, or that carries one block of an idempotent block-wise transfer. All such
+	// packets of a stream or transfer go to the same upstream.
 	ClassSticky
-	// ClassOnce is a request that is not idempotent.
+	// ClassOnce is a non-idempotent request, which must be executed at most once.
 	ClassOnce
-	// ClassReply acknowledges or rejects a message of an upstream.
+	// ClassReply is the caller's acknowledgement or rejection of a message from an upstream.
 	ClassReply
-	// ClassFlow is an opaque datagram of a flow.
+	// ClassFlow is an opaque datagram of a service of KindDatagram.
 	ClassFlow
 )
 
-// Token is the caller's name for one exchange, of at most eight bytes.
+// Token is the CoAP token by which a caller identifies one exchange, of at most eight bytes.
 type Token struct {
 	Len   uint8
 	Bytes [8]byte
 }
 
-// NewToken returns the token with the bytes of b, of which it keeps eight.
+// NewToken returns the token with the bytes of b, truncated to eight bytes.
 func NewToken(b []byte) Token {
 	var t Token
 	t.Len = uint8(copy(t.Bytes[:], b))
 	return t
 }
 
-// ExchangeKey tells one exchange of one caller from all others.
+// ExchangeKey identifies one request-response exchange of one caller.
 type ExchangeKey struct {
 	Flow  FlowKey
 	Token Token
 }
 
-// Packet is what the decision packages know of one datagram from a caller.
+// Packet is one datagram from a caller, parsed as far as the decision packages need it.
 type Packet struct {
 	Flow      FlowKey
 	Class     Class
 	Token     Token
 	MessageID uint16
-	// Confirmable is set when the caller waits for an acknowledgement.
+	// Confirmable is true if the caller waits for an acknowledgement.
 	Confirmable bool
-	// Binding is the binding as the caller sent it; empty for none.
+	// Binding is the encoded binding that the caller attached; empty if there is none.
 	Binding []byte
-	// Digest covers the request without its token, message ID and binding.
+	// Digest is a hash of the request without its token, message ID and binding; it is equal for retransmissions.
 	Digest uint64
-	// Block numbers the block of a transfer in parts, from zero.
+	// Block is the block number in a block-wise transfer, starting at zero.
 	Block uint32
-	// Hops counts the instances that handed the packet on; at most MaxHops.
+	// Hops is the number of times that the packet was handed off between instances.
 	Hops uint8
-	// Upstream is the upstream that a peer found for the packet's flow; empty for none.
+	// Upstream is the upstream that the instance which handed the packet off selected for its flow; empty if there is none.
 	Upstream UpstreamID
-	// Raw is the datagram as received; it is never changed.
+	// Raw is the datagram as received; it must not be modified.
 	Raw []byte
 }
 
-// MaxHops is how often a packet is handed from instance to instance.
+// MaxHops is the maximum number of hand-offs of a request between instances.
 const MaxHops = 1
 
 // Exchange returns the key of the packet's exchange.
@@ -68,37 +69,38 @@
 	return ExchangeKey{Flow: p.Flow, Token: p.Token}
 }
 
-// Outcome is what an upstream's answer says of the request.
+// Outcome is what an upstream's answer means for the request.
 type Outcome uint8
 
-// The outcomes of answers.
+// Outcomes of answers.
 const (
-	// OutcomeDone ends an exchange.
+	// OutcomeDone is the final response of an exchange.
 	OutcomeDone Outcome = iota + 1
-	// OutcomeNotRun is the upstream's own word that the request was not run.
+	// OutcomeNotRun is a response by which the upstream states that it did not execute the request.
 	OutcomeNotRun
-	// OutcomeNotification is one notification of a stream, which stays open.
+	// OutcomeNotification is a notification on a stream, which stays open.
 	OutcomeNotification
-	// OutcomeControl is a message without a token, such as an empty acknowledgement.
+	// OutcomeControl is a message without a token, such as an empty acknowledgement; it is delivered as it is.
 	OutcomeControl
 )
 
-// Answer is what the decision packages know of one datagram from an upstream.
+// Answer is one datagram from an upstream, parsed as far as the decision packages need it.
 type Answer struct {
 	Flow        FlowKey
 	Token       Token
 	MessageID   uint16
 	Confirmable bool
 	Outcome     Outcome
-	// Piggybacked is set when MessageID is that of the request.
+	// Piggybacked is true if the response is carried in the acknowledgement of the request, so that MessageID is that of the request.
 	Piggybacked bool
 	// From is the address of the upstream.
 	From netip.AddrPort
-	// Boot is the upstream's start, or zero if it does not tell.
+	// Boot identifies the current run of the upstream; zero if the answer does not carry it.
 	Boot BootID
-	// HandedOff is set on an answer that another instance handed here for its acknowledgement.
+	// HandedOff is true if another instance handed the answer off to this one, which is to receive its acknowledgement.
 	HandedOff bool
-	Raw       []byte
+	// Raw is the datagram as received; it must not be modified.
+	Raw []byte
 }
 
 // Exchange returns the key of the answer's exchange.
--- a/internal/core/model/registry.go
+++ b/internal/core/model/registry.go
@@ -5,80 +5,80 @@
 	"time"
 )
 
-// Revision counts all changes of the platform's store; zero means none.
+// Revision is a revision number of the platform's store, which increases with every change of any object; zero means none.
 type Revision uint64
 
-// EndpointNumber addresses one upstream in front of each packet sent to it; zero addresses any.
+// EndpointNumber is the prefix that addresses an upstream in each packet sent to it; zero addresses any upstream.
 type EndpointNumber uint64
 
-// Registration is what an upstream last wrote about itself.
+// Registration is the entry of an upstream in the platform's store, which the upstream writes itself.
 type Registration struct {
 	ID UpstreamID
-	// Revision is that of the write.
+	// Revision is the revision of the last write of the entry.
 	Revision Revision
 	// Number is derived from ID and is never zero.
 	Number  EndpointNumber
 	Service ServiceID
 	Domain  DomainID
 	Address netip.AddrPort
-	// Boot is the start of the upstream's process; it tells a restart under the same ID.
+	// Boot identifies the current run of the upstream's process; it changes when the upstream restarts under the same ID.
 	Boot BootID
-	// Slots is the number of requests that it works on at once; at least one.
+	// Slots is the number of requests that the upstream processes concurrently; at least one.
 	Slots int
-	// ColdFor is how much longer the upstream is cold, counted from the write.
+	// ColdFor is the remaining time of the cold start, counted from the write.
 	ColdFor time.Duration
-	// Draining is set before a planned stop: open flows go on, new ones belong elsewhere.
+	// Draining is true before a planned shutdown: open flows continue, new ones go to other upstreams.
 	Draining bool
 }
 
-// RouteKind says what may be repeated of the requests on a route.
+// RouteKind states whether callers may retry requests on a route.
 type RouteKind uint8
 
-// The kinds of route.
+// Route kinds.
 const (
-	// RouteOnce carries requests that run at most once.
+	// RouteOnce is a route of non-idempotent requests, which must be executed at most once.
 	RouteOnce RouteKind = iota + 1
-	// RouteIdempotent carries requests that callers repeat after any failure.
+	// RouteIdempotent is a route of idempotent requests, which callers retry after any failure.
 	RouteIdempotent
 )
 
-// Target is one service that a route sends new flows to.
+// Target is one weighted destination of a route.
 type Target struct {
 	Service ServiceID
-	// Weight is the share of new flows, relative to the route's other targets; above zero.
+	// Weight is the share of new flows relative to the other targets of the route; greater than zero.
 	Weight float64
 }
 
-// Route is one address that callers open flows to.
+// Route distributes the flows that callers open to one address over services.
 type Route struct {
 	Name    string
 	Address netip.AddrPort
 	Kind    RouteKind
-	// Timeout is the longest that a request takes.
+	// Timeout is the maximum duration of a request.
 	Timeout time.Duration
-	// Targets is never empty.
+	// Targets are the services that new flows are distributed over; never empty.
 	Targets []Target
 }
 
-// ServiceLimits is what operators declare of one service.
+// ServiceLimits holds the limits that operators configure for each upstream of a service.
 type ServiceLimits struct {
 	ID ServiceID
-	// ColdRate is how many new flows a second one cold upstream bears.
+	// ColdRate is the number of new flows per second that a cold upstream can take.
 	ColdRate float64
-	// ColdFor is how long an upstream is cold after its start.
+	// ColdFor is the duration of a cold start.
 	ColdFor time.Duration
-	// Connections is the most flows that one upstream holds.
+	// Connections is the maximum number of open flows.
 	Connections int
 }
 
-// RouteTable is one accepted configuration.
+// RouteTable is one accepted version of the routing configuration.
 type RouteTable struct {
-	// Version is the operators' number; it grows by irregular steps.
+	// Version is the version number that operators see; it increases, but not always by one.
 	Version Version
-	// Revision is the store's, by which a newer table is told from an older one.
+	// Revision is the store revision of the table; a higher one is newer.
 	Revision Revision
 	Routes   []Route
 	Services []ServiceLimits
-	// FlowIdle is how long an idle flow is kept.
+	// FlowIdle is the idle timeout of flows.
 	FlowIdle time.Duration
 }
--- a/internal/core/model/segment.go
+++ b/internal/core/model/segment.go
@@ -1,29 +1,30 @@
 package model
 
-// RoutingTag names one start of one upstream inside the packets of a flow; zero names none.
+// RoutingTag identifies one run of an upstream inside the packets of a flow; zero means none.
 type RoutingTag uint32
 
-// Segment is what the decision packages know of one packet of a flow whose upstream answers its caller directly.
+// Segment is one packet from a caller in a flow whose upstream answers the caller directly (direct server return), parsed as far as the
+// decision packages need it.
 type Segment struct {
 	Flow FlowKey
-	// Syn is set on the packet that opens a flow.
+	// Syn is true for the packet that opens a flow.
 	Syn bool
-	// Retransmission counts how often an opening packet was sent before; zero on all others.
+	// Retransmission is the number of earlier transmissions of an opening packet; zero for all other packets.
 	Retransmission uint32
-	// HasAck is set when Received is valid.
+	// HasAck is true if AckSeq is valid.
 	HasAck bool
-	// Fin is set when the caller sends nothing more.
+	// Fin is true if the caller sends no more data.
 	Fin bool
-	// Reset is set when the caller gives the flow up.
+	// Reset is true if the caller aborts the flow.
 	Reset bool
-	// Tag is the one that the flow's last packet from the upstream carried.
+	// Tag is the routing tag of the last packet that the caller received in the flow, which the caller echoes.
 	Tag RoutingTag
-	// Seq is the sequence number of the first byte of data.
+	// Seq is the sequence number of the first data byte.
 	Seq uint32
-	// AckSeq is the position up to which the caller has the upstream's bytes.
+	// AckSeq is the sequence number up to which the caller has received the upstream's data.
 	AckSeq uint32
-	// Size is the number of bytes of data.
+	// Size is the number of data bytes.
 	Size int
-	// Raw is the packet as received; it is never changed.
+	// Raw is the packet as received; it must not be modified.
 	Raw []byte
 }
--- a/internal/core/model/view.go
+++ b/internal/core/model/view.go
@@ -5,42 +5,45 @@
 	"time"
 )
 
-// UpstreamView is what one instance believes of one upstream, for operators.
+// UpstreamView is the state of an upstream as seen by one instance, for status reports.
 type UpstreamView struct {
 	ID      UpstreamID
 	Service ServiceID
 	Domain  DomainID
-	// Owned is the number of its slots that the instance owns.
+	// Owned is the number of the upstream's slots that the instance owns.
 	Owned int
-	// Limit is the number of requests that the instance may run there now.
+	// Limit is the number of concurrent requests that the instance may currently send to the upstream.
 	Limit int
-	// Running is the number of requests that the instance runs there.
+	// Running is the number of requests from the instance that the upstream is processing.
 	Running int
-	// Streams is the number of flows that the instance relayed lately.
-	Streams         int
-	Cold            bool
+	// Streams is the number of streams or flows that the instance relayed to the upstream recently.
+	Streams int
+	// Cold is true during a cold start.
+	Cold bool
+	// StartUnverified is true if the upstream may have restarted since its last answer.
 	StartUnverified bool
-	NoNewWork       bool
+	// NoNewWork is true if the upstream is draining or out of service.
+	NoNewWork bool
 }
 
-// DirectView is what one instance believes of one upstream whose answers go straight to callers.
+// DirectView is the state of an upstream that answers callers directly, as seen by one instance, for status reports.
 type DirectView struct {
 	ID      UpstreamID
 	Service ServiceID
 	Domain  DomainID
 	Address netip.AddrPort
-	// State is what the registry proves of it.
+	// State is the name of the upstream's registration state: listed, missing, unreadable or gone.
 	State string
-	// Draining is its own word that it will leave.
+	// Draining is true if the upstream has announced its shutdown.
 	Draining bool
-	// Cold is set while it bears only a few new flows.
+	// Cold is true during a cold start, while the upstream can take only a few new flows.
 	Cold bool
-	// Reachable is set while new flows may go there as far as the instance sees.
+	// Reachable is true unless the instance has ejected the upstream or considers its failure domain partitioned.
 	Reachable bool
-	// Running is the number of requests without an answer that passed the instance.
+	// Running is the number of unanswered requests that the instance forwarded to the upstream.
 	Running int
-	// Flows is the number of open flows that passed the instance.
+	// Flows is the number of open flows that the instance forwards to the upstream.
 	Flows int
-	// AnswerTime is the expected time from a request to its answer.
+	// AnswerTime is the moving average of the time from a request to its answer.
 	AnswerTime time.Duration
 }
--- a/internal/core/place/load.go
+++ b/internal/core/place/load.go
@@ -1,4 +1,4 @@
-// Package place picks the upstream of a new flow from what one instance sees of each.
+// Package place selects the upstream of a new flow by the load that one instance observes.
 package place
 
 import (
@@ -7,22 +7,22 @@
 	"hawthorncourse/internal/core/choose"
 )
 
-// Load is the work of one upstream as far as it passes this instance.
+// Load is the load of one upstream caused by the flows that pass this instance.
 type Load struct {
-	// Running counts the requests without an answer yet; never negative.
+	// Running is the number of unanswered requests; never negative.
 	Running int
-	// Flows counts the open flows; never negative.
+	// Flows is the number of open flows; never negative.
 	Flows int
-	// speed follows the time from a request to its answer.
-	speed choose.LatencyAverage
+	// latency averages the time from a request to its answer.
+	latency choose.LatencyAverage
 }
 
-// Observe adds the time from a request to its answer.
+// Observe adds a sample of the time from a request to its answer.
 func (l *Load) Observe(d time.Duration) {
-	l.speed.Observe(d)
+	l.latency.Observe(d)
 }
 
-// AnswerTime returns the expected time from a request to its answer.
+// AnswerTime returns the expected time from a request to its answer, a moving average of the samples.
 func (l *Load) AnswerTime() time.Duration {
-	return l.speed.Mean()
+	return l.latency.Mean()
 }
--- a/internal/core/place/place.go
+++ b/internal/core/place/place.go
@@ -8,35 +8,39 @@
 )
 
 const (
-	// sampleSize is how many upstreams are compared for one flow; instances that compare all would herd on the same one.
+	// sampleSize is the number of random upstreams that are compared for one flow. If instances compared all upstreams, they would all
+	// choose the same one.
 	sampleSize = 3
-	// flowShare is the part of an open flow that counts as a running request: long flows ask about once a second, an answer takes 20 to 50 ms.
-	flowShare = 0.03
-	// remoteFactor is the price of another failure domain: bytes that are billed and a path that a cut breaks.
-	remoteFactor = 2
+	// flowWeight is the weight of an open flow relative to a running request: long-lived flows send about one request per second, which
+	// takes 20 to 50 ms.
+	flowWeight = 0.03
+	// remotePenalty multiplies the score of upstreams in other failure domains, because traffic between domains is billed and may be
+	// interrupted by a network partition.
+	remotePenalty = 2
 )
 
-// Candidate is one upstream that a new flow may go to.
+// Candidate is one upstream that a new flow may be assigned to.
 type Candidate[T any] struct {
 	Value T
 	Load  *Load
-	// Local is set for the instance's own failure domain.
+	// Local is true if the upstream is in the instance's own failure domain.
 	Local bool
 }
 
-// NewPolicy returns the way that upstreams of new flows are picked.
+// NewPolicy returns the policy that selects the upstream of a new flow: the best of a random sample, with a preference for the instance's
+// own failure domain.
 func NewPolicy[T any]() choose.Policy[Candidate[T]] {
 	return localFirst[T]{sample: choose.BestOf[Candidate[T]]{N: sampleSize, Score: score[T]}}
 }
 
-// localFirst picks within the instance's own failure domain unless another one is better by far.
+// localFirst picks an upstream in the instance's own failure domain unless one in another domain is better even with remotePenalty.
 type localFirst[T any] struct {
 	sample choose.Policy[Candidate[T]]
 }
 
-// Pick implements choose.Policy.
+// Pick implements choose.Policy. It reorders candidates.
 func (p localFirst[T]) Pick(candidates []Candidate[T], rng *rand.Rand) int {
-	slices.SortStableFunc(candidates, func(a, b Candidate[T]) int { return order(a.Local) - order(b.Local) })
+	slices.SortStableFunc(candidates, func(a, b Candidate[T]) int { return localityRank(a.Local) - localityRank(b.Local) })
 	n := 0
 	for n < len(candidates) && candidates[n].Local {
 		n++
@@ -48,28 +52,29 @@
 	case len(remote) == 0:
 		return p.sample.Pick(local, rng)
 	}
-	here, there := p.sample.Pick(local, rng), p.sample.Pick(remote, rng)
-	if score(remote[there])*remoteFactor < score(local[here]) {
-		return n + there
+	bestLocal, bestRemote := p.sample.Pick(local, rng), p.sample.Pick(remote, rng)
+	if score(remote[bestRemote])*remotePenalty < score(local[bestLocal]) {
+		return n + bestRemote
 	}
-	return here
+	return bestLocal
 }
 
-// order sorts local candidates first.
-func order(local bool) int {
+// localityRank is the sort key that places local candidates first.
+func localityRank(local bool) int {
 	if local {
 		return 0
 	}
 	return 1
 }
 
-// score is the expected answer time of one more request, in nanoseconds.
+// score estimates the answer time of one more request, in nanoseconds.
 func score[T any](c Candidate[T]) float64 {
-	work := 1 + float64(c.Load.Running) + flowShare*float64(c.Load.Flows)
+	work := 1 + float64(c.Load.Running) + flowWeight*float64(c.Load.Flows)
 	return float64(c.Load.AnswerTime()) * work
 }
 
-// PickWeighted picks one of several weighted values; weights are above zero.
+// PickWeighted returns a random value, with probability proportional to its weight. There must be at least one value; weights must be
+// greater than zero.
 func PickWeighted[T any](values []T, weight func(T) float64, rng *rand.Rand) T {
 	if len(values) == 1 {
 		return values[0]
@@ -78,9 +83,9 @@
 	for _, v := range values {
 		sum += weight(v)
 	}
-	mark := rng.Float64() * sum
+	remaining := rng.Float64() * sum
 	for _, v := range values {
-		if mark -= weight(v); mark < 0 {
+		if remaining -= weight(v); remaining < 0 {
 			return v
 		}
 	}
--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -1,12 +1,13 @@
-// Package queue holds a growing first-in, first-out container.
+// Package queue provides an unbounded first-in, first-out queue.
 package queue
 
-const shrinkAt = 1024
+// compactThreshold is the number of removed items from which Pop reclaims their space.
+const compactThreshold = 1024
 
-// Queue is a first-in, first-out container; its zero value is empty.
+// Queue is a first-in, first-out queue. The zero value is an empty queue.
 type Queue[T any] struct {
 	items []T
-	// head is the index of the first item; what lies before it is spent.
+	// head is the index of the first item; earlier positions hold items that have been removed.
 	head int
 }
 
@@ -15,17 +16,17 @@
 	return len(q.items) - q.head
 }
 
-// Push adds an item at the end.
+// Push appends an item.
 func (q *Queue[T]) Push(item T) {
 	q.items = append(q.items, item)
 }
 
-// Peek returns the first item, which stays; there must be one.
+// Peek returns the first item without removing it. It panics if the queue is empty.
 func (q *Queue[T]) Peek() T {
 	return q.items[q.head]
 }
 
-// Pop removes and returns the first item; there must be one.
+// Pop removes and returns the first item. It panics if the queue is empty.
 func (q *Queue[T]) Pop() T {
 	var zero T
 	item := q.items[q.head]
@@ -33,7 +34,7 @@
 	q.head++
 	if q.head == len(q.items) {
 		q.items, q.head = q.items[:0], 0
-	} else if q.head >= shrinkAt && q.head*2 >= len(q.items) {
+	} else if q.head >= compactThreshold && q.head*2 >= len(q.items) {
 		n := copy(q.items, q.items[q.head:])
 		clear(q.items[n:])
 		q.items, q.head = q.items[:n], 0
--- a/internal/core/recent/recent_test.go
+++ b/internal/core/recent/recent_test.go
@@ -18,21 +18,21 @@
 	is.True(!table.Put(0, "one too many", 3))
 	now := model.Instant(0).Add(3 * time.Second)
 	is.Equal(*table.Touch(now, "kept"), 1)
-	var gone []string
-	note := func(key string, _ *int) { gone = append(gone, key) }
-	table.Expire(now.Add(2*time.Second), 4*time.Second, note)
-	is.Equal(gone, []string{"lapsed"})
-	table.Expire(now.Add(4*time.Second), 4*time.Second, note)
-	is.Equal(gone, []string{"lapsed", "kept"})
+	var expired []string
+	onExpire := func(key string, _ *int) { expired = append(expired, key) }
+	table.Expire(now.Add(2*time.Second), 4*time.Second, onExpire)
+	is.Equal(expired, []string{"lapsed"})
+	table.Expire(now.Add(4*time.Second), 4*time.Second, onExpire)
+	is.Equal(expired, []string{"lapsed", "kept"})
 	is.Equal(table.Len(), 0)
 }
 
-func TestDeletedAndPutAgain(t *testing.T) {
+func TestPutAfterDelete(t *testing.T) {
 	is := is.New(t)
 	table := recent.New[string, int](2)
 	table.Put(0, "key", 1)
 	table.Delete("key")
 	table.Put(model.Instant(time.Second), "key", 2)
-	table.Expire(model.Instant(1500*time.Millisecond), time.Second, func(string, *int) { t.Error("lapsed too soon") })
+	table.Expire(model.Instant(1500*time.Millisecond), time.Second, func(string, *int) { t.Error("entry expired too early") })
 	is.Equal(*table.Peek("key"), 2)
 }
--- a/internal/core/roster/bench_test.go
+++ b/internal/core/roster/bench_test.go
@@ -9,10 +9,10 @@
 	"hawthorncourse/internal/core/roster"
 )
 
-// planned is the number of upstreams at the size to design for.
-const planned = 24_000
+// designSize is the number of upstreams that the system is designed for.
+const designSize = 24_000
 
-func many(n int) model.Listing[model.Registration] {
+func syntheticListing(n int) model.Listing[model.Registration] {
 	var list model.Listing[model.Registration]
 	for i := range n {
 		list.Items = append(list.Items, model.Registration{
@@ -23,9 +23,9 @@
 	return list
 }
 
-// BenchmarkSync takes over a whole listing in which one upstream has changed.
+// BenchmarkSync applies a complete listing in which one upstream has changed.
 func BenchmarkSync(b *testing.B) {
-	list := many(planned)
+	list := syntheticListing(designSize)
 	r := roster.New(roster.Config{TagRetention: time.Minute})
 	r.Sync(1, list)
 	for b.Loop() {
@@ -34,9 +34,9 @@
 	}
 }
 
-// BenchmarkApply takes over one changed upstream.
-func BenchmarkMerge(b *testing.B) {
-	list := many(planned)
+// BenchmarkApply applies a change of one upstream to a listing.
+func BenchmarkApply(b *testing.B) {
+	list := syntheticListing(designSize)
 	for b.Loop() {
 		list = list.Apply(model.Changes[model.Registration]{Items: list.Items[7:8]}, model.UpstreamName)
 	}
--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -1,4 +1,4 @@
-// Package roster keeps what the registry says of upstreams and decides when one has ended for certain.
+// Package roster tracks the registrations of upstreams in the platform's store and decides when an upstream has definitely ended.
 package roster
 
 import (
@@ -10,91 +10,94 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// OutageGrace is how long a missing entry may come back after the registry's return: the platform names about two seconds, and a half is for its delay.
+// OutageGrace is the grace period after an outage of the store, during which missing registrations may reappear. The platform specifies
+// about two seconds; half a second is added for the propagation delay.
 const OutageGrace = 2500 * time.Millisecond
 
-// Config is what a Roster is built from.
+// Config is the configuration of a Roster.
 type Config struct {
-	// TagRetention is how long the tag of an upstream that has ended is known, which is the life of a flow.
+	// TagRetention is how long the tag of an ended upstream remains known. It must be the maximum lifetime of a flow.
 	TagRetention time.Duration
 }
 
-// tagKey finds an upstream: tags are compared within one service only.
+// tagKey is the lookup key of a run of an upstream. A tag is only meaningful within one service.
 type tagKey struct {
 	service model.ServiceID
 	tag     model.RoutingTag
 }
 
-// Roster holds every start of every upstream that flows may belong to.
+// Roster holds all runs of all upstreams that existing flows may belong to. A run is one Upstream, from a start of its process to its
+// exit.
 type Roster struct {
 	cfg Config
-	// current holds the latest start under each ID; none is gone.
+	// current holds the latest run of each upstream; none is in StateGone.
 	current map[model.UpstreamID]*Upstream
-	// tags holds all starts, those that are gone included.
+	// tags holds all runs, including those in StateGone.
 	tags map[tagKey]*Upstream
-	// services holds the current starts by service, in no order.
+	// services holds the current runs by service, in no particular order.
 	services map[model.ServiceID][]*Upstream
-	// all holds the current starts of all services, in no order.
+	// all holds the current runs of all services, in no particular order.
 	all []*Upstream
-	// addresses holds the current start that was last heard of at each address.
+	// addresses holds the current run with the latest start at each address.
 	addresses map[netip.AddrPort]*Upstream
-	// ended holds the starts that are gone, the oldest first.
+	// ended holds the runs in StateGone, oldest first.
 	ended []*Upstream
-	// unsure is until when a missing entry proves nothing.
-	unsure model.Instant
-	// confirmed is the last instant at which the registry was as it was last told.
-	confirmed model.Instant
-	// spoilt is set while an entry cannot be understood: it may be that of an upstream that lives.
-	spoilt bool
-	// out holds the failure domains that operators have taken out.
-	out map[model.DomainID]model.Instant
-	// notes collects changes of state for the log.
-	notes []StateChange
+	// graceUntil is the end of the grace period, during which a missing registration does not mean that the upstream has ended.
+	graceUntil model.Instant
+	// confirmedAt is the latest time for which the store has confirmed that the roster was current.
+	confirmedAt model.Instant
+	// hasUnreadable is true while a registration cannot be decoded; it may belong to a running upstream that is not in the roster.
+	hasUnreadable bool
+	// outSince maps the failure domains that operators have taken out of service to the time at which that became known.
+	outSince map[model.DomainID]model.Instant
+	// changes collects state changes until TakeStateChanges returns them for the log.
+	changes []StateChange
 }
 
-// StateChange is one change of what is believed of an upstream.
+// StateChange is a change of the state of an upstream or of its draining flag.
 type StateChange struct {
 	Upstream *Upstream
-	State    State
+	// State is the state after the change.
+	State State
 }
 
-// New returns an empty roster; until the grace is over, a missing entry proves nothing.
+// New returns an empty roster, whose grace period ends OutageGrace after the start of the process.
 func New(cfg Config) *Roster {
 	return &Roster{
-		cfg:       cfg,
-		current:   map[model.UpstreamID]*Upstream{},
-		tags:      map[tagKey]*Upstream{},
-		services:  map[model.ServiceID][]*Upstream{},
-		addresses: map[netip.AddrPort]*Upstream{},
-		out:       map[model.DomainID]model.Instant{},
-		unsure:    model.Instant(OutageGrace),
+		cfg:        cfg,
+		current:    map[model.UpstreamID]*Upstream{},
+		tags:       map[tagKey]*Upstream{},
+		services:   map[model.ServiceID][]*Upstream{},
+		addresses:  map[netip.AddrPort]*Upstream{},
+		outSince:   map[model.DomainID]model.Instant{},
+		graceUntil: model.Instant(OutageGrace),
 	}
 }
 
-// SetTagRetention replaces how long the tag of an upstream that has ended is known.
+// SetTagRetention replaces Config.TagRetention.
 func (r *Roster) SetTagRetention(d time.Duration) {
 	r.cfg.TagRetention = d
 }
 
-// Sync takes over a whole listing; what it lacks is missing.
+// Sync applies a complete listing. Upstreams that it does not contain are missing.
 func (r *Roster) Sync(now model.Instant, list model.Listing[model.Registration]) {
-	r.spoilt = len(list.Unreadable) > 0
+	r.hasUnreadable = len(list.Unreadable) > 0
 	listed := make(map[model.UpstreamID]bool, len(list.Items))
 	for i := range list.Items {
 		listed[list.Items[i].ID] = true
-		r.put(now, &list.Items[i])
+		r.upsert(now, &list.Items[i])
 	}
 	for _, name := range list.Unreadable {
 		listed[model.UpstreamID(name)] = true
-		r.unreadable(now, model.UpstreamID(name))
+		r.markUnreadable(now, model.UpstreamID(name))
 	}
-	for _, u := range r.these(func(u *Upstream) bool { return !listed[u.ID] }) {
-		r.missing(now, u.ID)
+	for _, u := range r.matching(func(u *Upstream) bool { return !listed[u.ID] }) {
+		r.markMissing(now, u.ID)
 	}
 }
 
-// these returns the current upstreams that match, by name.
-func (r *Roster) these(match func(*Upstream) bool) (list []*Upstream) {
+// matching returns the current upstreams for which match returns true, ordered by ID.
+func (r *Roster) matching(match func(*Upstream) bool) (list []*Upstream) {
 	for _, u := range r.all {
 		if match(u) {
 			list = append(list, u)
@@ -104,91 +107,92 @@
 	return list
 }
 
-// Add takes up a part of a listing; what it lacks may be in the rest.
+// Add applies a part of a listing. Upstreams that it does not contain are left as they are: they may be in another part.
 func (r *Roster) Add(now model.Instant, items []model.Registration) {
 	for i := range items {
-		r.put(now, &items[i])
+		r.upsert(now, &items[i])
 	}
 }
 
-// ExtendGrace notes that the registry was away: until then, a missing entry may come back.
+// ExtendGrace extends the grace period after an outage of the store, so that it ends at until or later.
 func (r *Roster) ExtendGrace(until model.Instant) {
-	r.unsure = max(r.unsure, until)
+	r.graceUntil = max(r.graceUntil, until)
 }
 
-// Confirm notes that at the instant the registry was as it was last told: whose entry has not come back by then has ended.
-func (r *Roster) Confirm(now, at model.Instant) {
-	r.confirmed = max(r.confirmed, at)
-	if now < r.unsure {
+// Confirm records that the store has confirmed the roster to be current at confirmedAt. After the grace period, upstreams that have been
+// missing for OutageGrace are declared gone.
+func (r *Roster) Confirm(now, confirmedAt model.Instant) {
+	r.confirmedAt = max(r.confirmedAt, confirmedAt)
+	if now < r.graceUntil {
 		return
 	}
-	for _, u := range r.these(func(u *Upstream) bool { return u.State == StateMissing && now.Sub(u.Since) >= OutageGrace }) {
-		r.end(now, u)
+	for _, u := range r.matching(func(u *Upstream) bool { return u.State == StateMissing && now.Sub(u.Since) >= OutageGrace }) {
+		r.markGone(now, u)
 	}
 }
 
-// Complete reports whether every upstream that lived since the instant is known here: the registry was confirmed after
-// it, was not away, and holds no entry that cannot be understood.
+// Complete reports whether the roster is certain to contain every upstream that was running at the given time: the store has confirmed
+// the roster since, the grace period is over, and all registrations could be decoded.
 func (r *Roster) Complete(now, since model.Instant) bool {
-	return r.confirmed > since && now >= r.unsure && !r.spoilt
+	return r.confirmedAt > since && now >= r.graceUntil && !r.hasUnreadable
 }
 
-// ExpireTags forgets the upstreams that ended long ago.
+// ExpireTags removes the tags of upstreams that ended at least TagRetention ago.
 func (r *Roster) ExpireTags(now model.Instant) {
 	for len(r.ended) > 0 && now.Sub(r.ended[0].Since) >= r.cfg.TagRetention {
-		old := r.ended[0]
+		oldest := r.ended[0]
 		r.ended = r.ended[1:]
-		if r.tags[old.key()] == old {
-			delete(r.tags, old.key())
+		if r.tags[oldest.key()] == oldest {
+			delete(r.tags, oldest.key())
 		}
 	}
 }
 
-// ByTag returns the upstream of the service with the tag, or nil.
+// ByTag returns the run of an upstream of the service with the tag, or nil. The result may be in StateGone.
 func (r *Roster) ByTag(service model.ServiceID, tag model.RoutingTag) *Upstream {
 	return r.tags[tagKey{service: service, tag: tag}]
 }
 
-// Get returns the current upstream under a name, or nil.
+// Get returns the current upstream with the ID, or nil.
 func (r *Roster) Get(id model.UpstreamID) *Upstream {
 	return r.current[id]
 }
 
-// ByService returns the current upstreams of a service; the caller must not change the slice.
+// ByService returns the current upstreams of a service. The caller must not modify the slice.
 func (r *Roster) ByService(service model.ServiceID) []*Upstream {
 	return r.services[service]
 }
 
-// All returns every current upstream; the caller must not change the slice.
+// All returns all current upstreams. The caller must not modify the slice.
 func (r *Roster) All() []*Upstream {
 	return r.all
 }
 
-// Usable reports whether new flows may go to the upstream.
+// Usable reports whether the upstream may get new flows: it is listed or missing, not draining, and its failure domain is in service.
 func (r *Roster) Usable(u *Upstream) bool {
 	if u.Draining || (u.State != StateListed && u.State != StateMissing) {
 		return false
 	}
-	_, out := r.out[u.Domain]
+	_, out := r.outSince[u.Domain]
 	return !out
 }
 
-// SetOut replaces the set of failure domains that operators have taken out.
+// SetOut replaces the set of failure domains that operators have taken out of service.
 func (r *Roster) SetOut(now model.Instant, domains []model.DomainID) {
 	out := make(map[model.DomainID]model.Instant, len(domains))
 	for _, d := range domains {
-		since, was := r.out[d]
-		if !was {
+		since, alreadyOut := r.outSince[d]
+		if !alreadyOut {
 			since = now
 		}
 		out[d] = since
 	}
-	r.out = out
+	r.outSince = out
 }
 
-// Out returns since when a failure domain is out, if it is.
+// Out reports whether a failure domain is out of service, and since when.
 func (r *Roster) Out(d model.DomainID) (since model.Instant, out bool) {
-	since, out = r.out[d]
+	since, out = r.outSince[d]
 	return since, out
 }
 
@@ -197,56 +201,57 @@
 	return len(r.current)
 }
 
-// TakeStateChanges returns the changes of state since the last call.
+// TakeStateChanges returns the state changes since the last call.
 func (r *Roster) TakeStateChanges() []StateChange {
-	notes := r.notes
-	r.notes = nil
-	return notes
+	changes := r.changes
+	r.changes = nil
+	return changes
 }
 
-// put takes up what an upstream wrote; a new start under an old ID ends the old one.
-func (r *Roster) put(now model.Instant, reg *model.Registration) {
+// upsert applies a registration. A new run under a known ID ends the previous run. Registrations older than the known one are ignored.
+func (r *Roster) upsert(now model.Instant, reg *model.Registration) {
 	u := r.current[reg.ID]
 	if u != nil && reg.Revision != 0 && reg.Revision < u.Revision {
 		return
 	}
 	if u != nil && (u.Boot != reg.Boot || u.Service != reg.Service || u.Address != reg.Address) {
-		r.end(now, u)
+		r.markGone(now, u)
 		u = nil
 	}
 	if u == nil {
-		if u = r.add(now, reg); u == nil {
+		if u = r.insert(now, reg); u == nil {
 			return
 		}
 	} else if reg.Revision != u.Revision {
-		// The remaining time counts from the write, which was seen only now: the error is on the careful side.
+		// ColdFor counts from the write, which was received later, so the end of the cold start is overestimated, never underestimated.
 		u.ColdUntil = now.Add(reg.ColdFor)
 	}
 	if u.Draining != reg.Draining {
-		r.notes = append(r.notes, StateChange{Upstream: u, State: u.State})
+		r.changes = append(r.changes, StateChange{Upstream: u, State: u.State})
 	}
 	u.Registration = *reg
-	r.set(now, u, StateListed)
+	r.setState(now, u, StateListed)
 	r.supersede(now, u)
 }
 
-// add takes up a start that is not known yet; it returns nil for one that has ended for certain.
-func (r *Roster) add(now model.Instant, reg *model.Registration) *Upstream {
-	u := &Upstream{Tag: tagOf(reg), Registration: *reg, ColdUntil: now.Add(reg.ColdFor)}
-	if old := r.tags[u.key()]; old != nil && old.replaced && old.ID == reg.ID && old.Boot == reg.Boot {
+// insert adds a new run of an upstream. It returns nil if the run is known to have been superseded at its address.
+func (r *Roster) insert(now model.Instant, reg *model.Registration) *Upstream {
+	u := &Upstream{Tag: routingTag(reg), Registration: *reg, ColdUntil: now.Add(reg.ColdFor)}
+	if old := r.tags[u.key()]; old != nil && old.superseded && old.ID == reg.ID && old.Boot == reg.Boot {
 		return nil
 	}
 	r.current[reg.ID] = u
 	list := r.services[reg.Service]
-	u.atService, u.atAll = len(list), len(r.all)
+	u.serviceIndex, u.allIndex = len(list), len(r.all)
 	r.services[reg.Service] = append(list, u)
 	r.all = append(r.all, u)
 	r.tags[u.key()] = u
 	return u
 }
 
-// supersede ends the earlier of two starts at one address: an address is used again only after its upstream has ended, whose entry
-// may stay for seconds. The later start must also have written later, since clocks differ.
+// supersede ends the earlier of two runs at the same address. The platform reuses an address only after its upstream has ended, but the
+// old registration may remain for seconds. Boot values come from the clocks of different machines, so a run counts as later only if its
+// registration was also written later.
 func (r *Roster) supersede(now model.Instant, u *Upstream) {
 	other := r.addresses[u.Address]
 	r.addresses[u.Address] = u
@@ -261,52 +266,52 @@
 	if earlier.Boot == 0 || earlier.Boot == later.Boot || earlier.Revision >= later.Revision {
 		return
 	}
-	earlier.replaced = true
-	r.end(now, earlier)
+	earlier.superseded = true
+	r.markGone(now, earlier)
 }
 
-func (r *Roster) unreadable(now model.Instant, id model.UpstreamID) {
+func (r *Roster) markUnreadable(now model.Instant, id model.UpstreamID) {
 	if u := r.current[id]; u != nil {
-		r.set(now, u, StateUnreadable)
+		r.setState(now, u, StateUnreadable)
 	}
 }
 
-// missing notes that an upstream has no entry any more.
-func (r *Roster) missing(now model.Instant, id model.UpstreamID) {
+// markMissing handles an upstream that has no registration any more: during the grace period it is missing, afterwards it is gone.
+func (r *Roster) markMissing(now model.Instant, id model.UpstreamID) {
 	u := r.current[id]
 	switch {
 	case u == nil:
-	case now < r.unsure:
-		r.set(now, u, StateMissing)
+	case now < r.graceUntil:
+		r.setState(now, u, StateMissing)
 	case u.State == StateMissing:
-		// Confirm judges it.
+		// Confirm decides when it is gone.
 	default:
-		r.end(now, u)
+		r.markGone(now, u)
 	}
 }
 
-func (r *Roster) end(now model.Instant, u *Upstream) {
-	r.set(now, u, StateGone)
+func (r *Roster) markGone(now model.Instant, u *Upstream) {
+	r.setState(now, u, StateGone)
 	delete(r.current, u.ID)
 	if r.addresses[u.Address] == u {
 		delete(r.addresses, u.Address)
 	}
 	list := r.services[u.Service]
 	last := list[len(list)-1]
-	list[u.atService], last.atService = last, u.atService
+	list[u.serviceIndex], last.serviceIndex = last, u.serviceIndex
 	r.services[u.Service] = list[:len(list)-1]
 	last = r.all[len(r.all)-1]
-	r.all[u.atAll], last.atAll = last, u.atAll
+	r.all[u.allIndex], last.allIndex = last, u.allIndex
 	r.all = r.all[:len(r.all)-1]
 	r.ended = append(r.ended, u)
 }
 
-func (r *Roster) set(now model.Instant, u *Upstream, s State) {
+func (r *Roster) setState(now model.Instant, u *Upstream, s State) {
 	if u.State == s {
 		return
 	}
 	u.State, u.Since = s, now
-	r.notes = append(r.notes, StateChange{Upstream: u, State: s})
+	r.changes = append(r.changes, StateChange{Upstream: u, State: s})
 }
 
 func (u *Upstream) key() tagKey {
--- a/internal/core/roster/upstream.go
+++ b/internal/core/roster/upstream.go
@@ -10,18 +10,19 @@
 	"hawthorncourse/internal/core/place"
 )
 
-// State is what is known of one start of an upstream.
+// State is the registration state of one run of an upstream.
 type State uint8
 
-// The states of upstreams.
+// States of upstreams.
 const (
-	// StateListed has an entry in the registry.
+	// StateListed means that the upstream has a registration in the store.
 	StateListed State = iota + 1
-	// StateMissing has lost its entry while the registry could not be trusted; it may still live.
+	// StateMissing means that the registration disappeared during the grace period after an outage of the store, so that the upstream may
+	// still be running.
 	StateMissing
-	// StateUnreadable has an entry that cannot be understood: open flows go on, new ones belong elsewhere.
+	// StateUnreadable means that the registration cannot be decoded: open flows continue, new ones go to other upstreams.
 	StateUnreadable
-	// StateGone has ended for certain.
+	// StateGone means that this run of the upstream has definitely ended.
 	StateGone
 )
 
@@ -32,36 +33,37 @@
 	StateGone:       "gone",
 }
 
-// String returns the state's name.
+// String returns the name of the state as used in reports and logs.
 func (s State) String() string {
 	return stateNames[s]
 }
 
-// Upstream is one start of one upstream.
+// Upstream is one run of an upstream, from a start of its process to its exit.
 type Upstream struct {
 	model.Registration
-	// Tag is never zero.
+	// Tag identifies this run inside the packets of a flow; never zero.
 	Tag   model.RoutingTag
 	State State
-	// Since is when the state was taken up.
+	// Since is the time of the last state change.
 	Since model.Instant
-	// ColdUntil is when the upstream is warm by its own word.
+	// ColdUntil is the end of the cold start.
 	ColdUntil model.Instant
-	Load      place.Load
-	Health    health.Tracker
-	// replaced is set once a later start has its address.
-	replaced bool
-	// atService and atAll are its places in the roster's lists while it is current.
-	atService, atAll int
+	// Load is the load that this instance puts on the upstream.
+	Load   place.Load
+	Health health.Tracker
+	// superseded is true once a later run uses the address.
+	superseded bool
+	// serviceIndex and allIndex are the positions in Roster.services and Roster.all while the run is current.
+	serviceIndex, allIndex int
 }
 
-// Cold reports whether the upstream bears only a few new flows.
+// Cold reports whether the upstream is in its cold start, during which it can take only a few new flows.
 func (u *Upstream) Cold(now model.Instant) bool {
 	return now < u.ColdUntil
 }
 
-// tagOf names one start of an upstream: every instance finds the same tag without asking.
-func tagOf(r *model.Registration) model.RoutingTag {
+// routingTag derives the tag of a run of an upstream from its registration alone, so that all instances compute the same tag.
+func routingTag(r *model.Registration) model.RoutingTag {
 	var buf [24]byte
 	binary.BigEndian.PutUint64(buf[:], uint64(r.Number))
 	binary.BigEndian.PutUint64(buf[8:], uint64(r.Boot))
--- a/internal/core/units/units.go
+++ b/internal/core/units/units.go
@@ -1,4 +1,4 @@
-// Package units divides the capacity of upstreams among instances without a coordinator.
+// Package units allocates the slots of upstreams to instances by rendezvous hashing, without a coordinator.
 package units
 
 import (
@@ -9,156 +9,160 @@
 	"hawthorncourse/internal/core/rendez"
 )
 
-// Config is what a Table is built from.
+// Config is the configuration of a Table.
 type Config struct {
-	// Self is the instance whose units are tracked.
+	// Self is the instance that uses the table.
 	Self model.InstanceID
 }
 
-// Table tells which instance owns each unit of each upstream.
+// Table records which instance owns each slot of each upstream, as seen by one instance.
 type Table struct {
 	cfg Config
-	// shares holds an entry for each upstream of the document in force.
-	shares map[model.UpstreamID]*Allocation
+	// allocations has an entry for each upstream of the current document.
+	allocations map[model.UpstreamID]*Allocation
 }
 
-// Allocation is the division of one upstream's slots.
+// Allocation is the allocation of one upstream's slots to instances.
 type Allocation struct {
-	// Owners holds the owner of each slot; it is empty while nobody may own them.
+	// Owners holds the owner of each slot; it is empty while no instance is eligible.
 	Owners []model.InstanceID
-	// usable holds, for each slot, from when its owner may use it by all that is known here.
-	usable []model.Instant
-	// mine maps a slot of this instance to the instant from which it is usable.
-	mine map[int]model.Instant
-	// waits holds those instants in order; the first ready of them have passed.
-	waits []model.Instant
-	ready int
+	// usableAt holds, for each slot, the time from which its owner may use it, as far as this instance can tell.
+	usableAt []model.Instant
+	// ownedUsableAt maps each slot that this instance owns to the time from which it may be used.
+	ownedUsableAt map[int]model.Instant
+	// ownedSorted holds the values of ownedUsableAt in ascending order; the first usableCount of them have passed.
+	ownedSorted []model.Instant
+	usableCount int
 }
 
-// Inputs is what ownership is computed from.
+// Inputs are the inputs of the allocation.
 type Inputs struct {
 	Document *model.Document
-	// Members holds every known instance, this one too.
+	// Members holds all known instances, including this one.
 	Members []model.Member
-	// Orphaned names the domains whose slots may be owned from elsewhere.
+	// Orphaned is the set of failure domains without any instance; their slots may be owned by instances of other domains.
 	Orphaned map[model.DomainID]bool
 }
 
-// NewTable returns a table without units.
+// NewTable returns an empty table.
 func NewTable(cfg Config) *Table {
-	return &Table{cfg: cfg, shares: map[model.UpstreamID]*Allocation{}}
+	return &Table{cfg: cfg, allocations: map[model.UpstreamID]*Allocation{}}
 }
 
-// Allocation returns the division of the upstream's slots, or nil.
+// Allocation returns the allocation of the upstream's slots, or nil if the upstream is not in the document.
 func (t *Table) Allocation(id model.UpstreamID) *Allocation {
-	return t.shares[id]
+	return t.allocations[id]
 }
 
-// Update computes ownership anew; a unit gained now is usable only after the hold-off.
-func (t *Table) Update(now model.Instant, v Inputs) {
-	next := make(map[model.UpstreamID]*Allocation, len(t.shares))
-	pools := ownerPools(v)
-	for i := range v.Document.Services {
-		svc := &v.Document.Services[i]
-		holdOff := HoldOff(v.Document.Timing, svc)
+// Update recomputes the owners of all slots. A slot with a new owner may be used only after HoldOff.
+func (t *Table) Update(now model.Instant, in Inputs) {
+	next := make(map[model.UpstreamID]*Allocation, len(t.allocations))
+	pools := candidatesByDomain(in)
+	for i := range in.Document.Services {
+		svc := &in.Document.Services[i]
+		holdOff := HoldOff(in.Document.Timing, svc)
 		for j := range svc.Upstreams {
 			up := &svc.Upstreams[j]
-			next[up.ID] = t.share(now, up, pools[up.Domain], holdOff)
+			next[up.ID] = t.allocate(now, up, pools[up.Domain], holdOff)
 		}
 	}
-	t.shares = next
+	t.allocations = next
 }
 
-// HoldOff is how long a gained unit stays unused: its earlier owner may not know yet, and its requests may still run.
+// HoldOff returns how long a slot stays unused after a change of its owner: the previous owner may not have detected the change yet, and
+// its requests may still be running.
 func HoldOff(timing model.Timing, svc *model.Service) time.Duration {
 	return timing.Detection + svc.RequestTimeout
 }
 
-// RestartHoldOff makes every own unit newly gained, as after a pause of the process.
+// RestartHoldOff releases all slots of this instance; the next Update grants them again with a new hold-off. It is called after a pause of
+// the process, during which other instances may have taken over the slots.
 func (t *Table) RestartHoldOff() {
-	for _, s := range t.shares {
-		clear(s.mine)
-		s.waits, s.ready = nil, 0
+	for _, a := range t.allocations {
+		clear(a.ownedUsableAt)
+		a.ownedSorted, a.usableCount = nil, 0
 	}
 }
 
-func (t *Table) share(now model.Instant, up *model.Upstream, pool []rendez.Candidate[model.InstanceID], holdOff time.Duration) *Allocation {
-	s := &Allocation{mine: map[int]model.Instant{}}
+func (t *Table) allocate(now model.Instant, up *model.Upstream, pool []rendez.Candidate[model.InstanceID], holdOff time.Duration) *Allocation {
+	a := &Allocation{ownedUsableAt: map[int]model.Instant{}}
 	if len(pool) == 0 {
-		return s
+		return a
 	}
-	old := t.shares[up.ID]
-	s.Owners = make([]model.InstanceID, up.Slots)
-	s.usable = make([]model.Instant, up.Slots)
-	for n := range s.Owners {
-		s.Owners[n], _ = rendez.First(rendez.KeyOf(string(up.ID), n), pool)
-		s.usable[n] = now.Add(holdOff)
-		if old.ownedBy(n, s.Owners[n]) {
-			s.usable[n] = old.usable[n]
+	prev := t.allocations[up.ID]
+	a.Owners = make([]model.InstanceID, up.Slots)
+	a.usableAt = make([]model.Instant, up.Slots)
+	for n := range a.Owners {
+		a.Owners[n], _ = rendez.First(rendez.KeyOf(string(up.ID), n), pool)
+		a.usableAt[n] = now.Add(holdOff)
+		if prev.ownedBy(n, a.Owners[n]) {
+			a.usableAt[n] = prev.usableAt[n]
 		}
-		if s.Owners[n] != t.cfg.Self {
+		if a.Owners[n] != t.cfg.Self {
 			continue
 		}
-		s.mine[n] = now.Add(holdOff)
-		if usable, held := old.since(n); held {
-			s.mine[n] = usable
+		a.ownedUsableAt[n] = now.Add(holdOff)
+		if usableAt, owned := prev.ownUsableAt(n); owned {
+			a.ownedUsableAt[n] = usableAt
 		}
-		s.waits = append(s.waits, s.mine[n])
+		a.ownedSorted = append(a.ownedSorted, a.ownedUsableAt[n])
 	}
-	slices.Sort(s.waits)
-	return s
+	slices.Sort(a.ownedSorted)
+	return a
 }
 
-func (s *Allocation) ownedBy(n int, id model.InstanceID) bool {
-	return s != nil && n < len(s.Owners) && s.Owners[n] == id
+func (a *Allocation) ownedBy(n int, id model.InstanceID) bool {
+	return a != nil && n < len(a.Owners) && a.Owners[n] == id
 }
 
-// SlotUsable reports whether the owner of the slot may use it by all that is known here.
-func (s *Allocation) SlotUsable(now model.Instant, n int) bool {
-	return s.usable[n] <= now
+// SlotUsable reports whether the hold-off of slot n is over, so that its owner may use it, as far as this instance can tell.
+func (a *Allocation) SlotUsable(now model.Instant, n int) bool {
+	return a.usableAt[n] <= now
 }
 
-func (s *Allocation) since(n int) (model.Instant, bool) {
-	if s == nil {
+func (a *Allocation) ownUsableAt(n int) (model.Instant, bool) {
+	if a == nil {
 		return 0, false
 	}
-	usable, held := s.mine[n]
-	return usable, held
+	usableAt, owned := a.ownedUsableAt[n]
+	return usableAt, owned
 }
 
-// Usable returns how many slots this instance may use now; now must not fall from call to call.
-func (s *Allocation) Usable(now model.Instant) int {
-	for s.ready < len(s.waits) && s.waits[s.ready] <= now {
-		s.ready++
+// Usable returns the number of slots that this instance may use now. The values of now must not decrease from call to call.
+func (a *Allocation) Usable(now model.Instant) int {
+	for a.usableCount < len(a.ownedSorted) && a.ownedSorted[a.usableCount] <= now {
+		a.usableCount++
 	}
-	return s.ready
+	return a.usableCount
 }
 
-// Owned returns how many slots this instance owns, usable or not.
-func (s *Allocation) Owned() int {
-	return len(s.mine)
+// Owned returns the number of slots that this instance owns, including those in their hold-off.
+func (a *Allocation) Owned() int {
+	return len(a.ownedUsableAt)
 }
 
-// IsPrimary reports whether this instance alone may use the upstream during a cold start or while its state is unsure.
-func (s *Allocation) IsPrimary(now model.Instant) bool {
-	usable, held := s.since(0)
-	return held && usable <= now
+// IsPrimary reports whether this instance is the primary of the upstream and its hold-off is over. During a cold start, or while the
+// upstream may have restarted unnoticed, only the primary may use it.
+func (a *Allocation) IsPrimary(now model.Instant) bool {
+	usableAt, owned := a.ownUsableAt(0)
+	return owned && usableAt <= now
 }
 
-// Primary returns the owner of the first slot, which alone may use the upstream during a cold start.
-func (s *Allocation) Primary() model.InstanceID {
-	if s == nil || len(s.Owners) == 0 {
+// Primary returns the primary of the upstream, which is the owner of its first slot; empty if there is none. See IsPrimary.
+func (a *Allocation) Primary() model.InstanceID {
+	if a == nil || len(a.Owners) == 0 {
 		return ""
 	}
-	return s.Owners[0]
+	return a.Owners[0]
 }
 
-// ownerPools returns the possible owners of each domain's slots.
-func ownerPools(v Inputs) map[model.DomainID][]rendez.Candidate[model.InstanceID] {
+// candidatesByDomain returns the instances that are eligible as owners of the slots in each failure domain: the instances of the domain,
+// or all instances if it is orphaned. Instances that are leaving or dead, or whose domain is out of service, are not eligible.
+func candidatesByDomain(in Inputs) map[model.DomainID][]rendez.Candidate[model.InstanceID] {
 	pools := map[model.DomainID][]rendez.Candidate[model.InstanceID]{}
 	var all []rendez.Candidate[model.InstanceID]
-	for _, m := range v.Members {
-		dom, known := v.Document.Domain(m.Domain)
+	for _, m := range in.Members {
+		dom, known := in.Document.Domain(m.Domain)
 		if dom.Out || !known || m.State == model.MemberLeaving || m.State == model.MemberDead {
 			continue
 		}
@@ -166,7 +170,7 @@
 		pools[m.Domain] = append(pools[m.Domain], c)
 		all = append(all, c)
 	}
-	for id, adopted := range v.Orphaned {
+	for id, adopted := range in.Orphaned {
 		if adopted && len(pools[id]) == 0 {
 			pools[id] = all
 		}
@@ -176,8 +180,8 @@
 
 // OwnsAny reports whether this instance owns any slot.
 func (t *Table) OwnsAny() bool {
-	for _, s := range t.shares {
-		if len(s.mine) > 0 {
+	for _, a := range t.allocations {
+		if len(a.ownedUsableAt) > 0 {
 			return true
 		}
 	}
--- a/internal/core/units/units_test.go
+++ b/internal/core/units/units_test.go
@@ -38,7 +38,7 @@
 	return out
 }
 
-// TestNoSlotTwice checks that no slot is usable at two instances while memberships change and reach them unevenly.
+// TestNoSlotTwice checks that no slot is usable at two instances while memberships change and the instances learn of it at different times.
 func TestNoSlotTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		doc := document()
@@ -55,27 +55,27 @@
 			for _, n := range rapid.Permutation([]int{0, 1, 2, 3, 4}).Draw(t, "order") {
 				now = now.Add(doc.Timing.Detection / instances)
 				tables[n].Update(now, units.Inputs{Document: doc, Members: members(states)})
-				checkShares(t, doc, tables, now)
+				checkAllocations(t, doc, tables, now)
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 6).Draw(t, "pause")) * time.Second)
-			checkShares(t, doc, tables, now)
+			checkAllocations(t, doc, tables, now)
 		}
 	})
 }
 
-func checkShares(t *rapid.T, doc *model.Document, tables []*units.Table, now model.Instant) {
+func checkAllocations(t *rapid.T, doc *model.Document, tables []*units.Table, now model.Instant) {
 	for _, up := range doc.Services[0].Upstreams {
-		usable, probers := 0, 0
+		usable, primaries := 0, 0
 		for _, table := range tables {
-			if s := table.Allocation(up.ID); s != nil {
-				usable += s.Usable(now)
-				if s.IsPrimary(now) {
-					probers++
+			if alloc := table.Allocation(up.ID); alloc != nil {
+				usable += alloc.Usable(now)
+				if alloc.IsPrimary(now) {
+					primaries++
 				}
 			}
 		}
-		if usable > slots || probers > 1 {
-			t.Fatalf("%s has %d usable slots and %d probers", up.ID, usable, probers)
+		if usable > slots || primaries > 1 {
+			t.Fatalf("%s has %d usable slots and %d primaries", up.ID, usable, primaries)
 		}
 	}
 }
