--- a/internal/core/bind/bind.go
+++ b/internal/core/bind/bind.go
@@ -1,4 +1,4 @@
-// Package bind issues and verifies bindings: short signed statements that tie a caller to an upstream or an issuer.
+// Package bind issues and verifies bindings: short authenticated tokens that tie a caller's flow to an upstream or to the issuing instance.
 package bind
 
 import (
@@ -12,13 +12,13 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// Size is the length of an encoded binding in bytes, the most that an Echo option holds.
+// Size is the length of an encoded binding in bytes, the maximum length of a CoAP Echo option.
 const Size = 40
 
 const (
-	bodySize = 26
-	macSize  = Size - bodySize
-	format   = 1
+	bodySize      = 26
+	macSize       = Size - bodySize
+	formatVersion = 1
 )
 
 // Use is what a binding permits.
@@ -26,95 +26,98 @@
 
 // The uses of bindings.
 const (
-	// UseStream permits a flow to its upstream through any instance.
+	// UseStream permits a stream to its upstream through any instance.
 	UseStream Use = iota + 1
-	// UseOnce permits one request through its issuer alone.
+	// UseOnce permits one request through its issuer only.
 	UseOnce
 )
 
-// The errors of Open.
+// The errors of Verify.
 var (
-	ErrForged     = errors.New("binding is not ours or not for this caller and service")
-	ErrUnknownKey = errors.New("binding key is not known here")
-	// ErrKeyAhead means that others have a newer key than any known here.
-	ErrKeyAhead = errors.New("binding key is not known here yet")
+	ErrForged     = errors.New("binding is malformed, forged or issued for another caller or service")
+	ErrUnknownKey = errors.New("binding key is unknown or no longer valid")
+	// ErrNewerKey means that the binding was signed with a key that is newer than all keys of this Signer.
+	ErrNewerKey = errors.New("binding key is newer than all known keys")
 )
 
-// Binding is the content of a binding.
+// Binding is the content of an encoded binding.
 type Binding struct {
 	Use   Use
 	Epoch model.Epoch
-	// Upstream is zero for UseOnce: the issuer chooses when it forwards.
+	// Upstream is zero for UseOnce: the issuer selects an upstream when it forwards the request.
 	Upstream model.UpstreamTag
-	// Boot is the low half of the upstream's boot identity.
+	// Boot is the low 32 bits of the upstream's boot ID.
 	Boot   uint32
 	Issuer model.IssuerTag
-	// Serial tells the bindings of one issuer apart.
+	// Serial is unique among the bindings of one issuer.
 	Serial uint64
 	// Expiry is in seconds since 1970.
 	Expiry uint32
 }
 
-// Key is the secret of one epoch.
+// Key is the signing secret of one epoch.
 type Key struct {
 	Epoch  model.Epoch
 	Secret [32]byte
 }
 
-// Keys holds the valid keys, the newest first; at most two are valid at a time.
+// Keys holds the valid keys, newest first; at most two are valid at the same time.
 type Keys struct {
 	Version model.Version
 	List    []Key
 }
 
-// Sealer issues and verifies bindings; it is not safe for concurrent use.
-type Sealer struct {
+// Signer signs and verifies bindings. It is not safe for concurrent use.
+type Signer struct {
 	version model.Version
-	macs    []keyed
-	sum     [sha256.Size]byte
-	scope   [36 + bodySize]byte
+	macs    []epochMAC
+	// macBuffer and signedData are reused from call to call.
+	macBuffer [sha256.Size]byte
+	// signedData is the input of the MAC: the addresses and ports of caller and service, then the body of the binding.
+	signedData [36 + bodySize]byte
 }
 
-type keyed struct {
+type epochMAC struct {
 	epoch model.Epoch
 	mac   hash.Hash
 }
 
-// SetKeys replaces the keys unless they are older than those in use.
-func (s *Sealer) SetKeys(keys Keys) {
+// SetKeys replaces the keys; keys that are not newer than those in use are ignored.
+func (s *Signer) SetKeys(keys Keys) {
 	if keys.Version <= s.version {
 		return
 	}
 	s.version = keys.Version
 	s.macs = s.macs[:0]
 	for _, k := range keys.List {
-		s.macs = append(s.macs, keyed{epoch: k.Epoch, mac: hmac.New(sha256.New, k.Secret[:])})
+		s.macs = append(s.macs, epochMAC{epoch: k.Epoch, mac: hmac.New(sha256.New, k.Secret[:])})
 	}
 }
 
-// Newest returns the newest epoch, or zero while there are no keys.
-func (s *Sealer) Newest() model.Epoch {
+// NewestEpoch returns the epoch of the newest key, or zero if there are no keys.
+func (s *Signer) NewestEpoch() model.Epoch {
 	if len(s.macs) == 0 {
 		return 0
 	}
 	return s.macs[0].epoch
 }
 
-// Seal returns the encoded binding for the flow under the newest key; ok is false while there are no keys.
-func (s *Sealer) Seal(flow model.FlowKey, b Binding) (raw []byte, ok bool) {
+// Sign encodes the binding for the flow and signs it with the newest key; ok is false if there are no keys.
+func (s *Signer) Sign(flow model.FlowKey, b Binding) (raw []byte, ok bool) {
 	if len(s.macs) == 0 {
 		return nil, false
 	}
 	b.Epoch = s.macs[0].epoch
 	raw = make([]byte, Size)
 	encode(raw, b)
-	copy(raw[bodySize:], s.sign(s.macs[0].mac, flow, raw[:bodySize]))
+	copy(raw[bodySize:], s.computeMAC(s.macs[0].mac, flow, raw[:bodySize]))
 	return raw, true
 }
 
-// Open verifies raw for the flow and returns its content; the expiry is the caller's to judge.
-func (s *Sealer) Open(flow model.FlowKey, raw []byte) (Binding, error) {
-	if len(raw) != Size || raw[0]>>4 != format {
+// Verify checks that raw was issued for the flow and returns its content. It does not check the expiry. It returns ErrForged, ErrUnknownKey or
+// ErrNewerKey.
+func (s *Signer) Verify(flow model.FlowKey, raw []byte) (Binding, error) {
+	if len(raw) != Size || raw[0]>>4 != formatVersion {
 		return Binding{}, ErrForged
 	}
 	b := decode(raw)
@@ -122,32 +125,32 @@
 		if byte(k.epoch) != raw[bodySize-1] {
 			continue
 		}
-		if subtle.ConstantTimeCompare(raw[bodySize:], s.sign(k.mac, flow, raw[:bodySize])) != 1 {
+		if subtle.ConstantTimeCompare(raw[bodySize:], s.computeMAC(k.mac, flow, raw[:bodySize])) != 1 {
 			return Binding{}, ErrForged
 		}
 		b.Epoch = k.epoch
 		return b, nil
 	}
 	if len(s.macs) > 0 && int8(raw[bodySize-1]-byte(s.macs[0].epoch)) > 0 {
-		return Binding{}, ErrKeyAhead
+		return Binding{}, ErrNewerKey
 	}
 	return Binding{}, ErrUnknownKey
 }
 
-func (s *Sealer) sign(mac hash.Hash, flow model.FlowKey, body []byte) []byte {
+func (s *Signer) computeMAC(mac hash.Hash, flow model.FlowKey, body []byte) []byte {
 	caller, service := flow.Caller.Addr().As16(), flow.Service.Addr().As16()
-	copy(s.scope[:16], caller[:])
-	copy(s.scope[16:32], service[:])
-	binary.BigEndian.PutUint16(s.scope[32:], flow.Caller.Port())
-	binary.BigEndian.PutUint16(s.scope[34:], flow.Service.Port())
-	copy(s.scope[36:], body)
+	copy(s.signedData[:16], caller[:])
+	copy(s.signedData[16:32], service[:])
+	binary.BigEndian.PutUint16(s.signedData[32:], flow.Caller.Port())
+	binary.BigEndian.PutUint16(s.signedData[34:], flow.Service.Port())
+	copy(s.signedData[36:], body)
 	mac.Reset()
-	mac.Write(s.scope[:])
-	return mac.Sum(s.sum[:0])[:macSize]
+	mac.Write(s.signedData[:])
+	return mac.Sum(s.macBuffer[:0])[:macSize]
 }
 
 func encode(raw []byte, b Binding) {
-	raw[0] = format<<4 | byte(b.Use)
+	raw[0] = formatVersion<<4 | byte(b.Use)
 	put48(raw[1:], uint64(b.Issuer))
 	put48(raw[7:], b.Serial)
 	binary.BigEndian.PutUint32(raw[13:], uint32(b.Upstream))
--- a/internal/core/engine/bench_test.go
+++ b/internal/core/engine/bench_test.go
@@ -12,7 +12,7 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// benchEngine returns an engine that owns everything and whose upstreams are warm at the returned time.
+// benchEngine returns an engine that owns every slot and whose upstreams are warm at the returned time.
 func benchEngine(b *testing.B, kind model.Kind) (*engine.Engine, *model.Document, model.Instant) {
 	b.Helper()
 	doc := worldDocument(1)
@@ -46,17 +46,17 @@
 	return &model.Packet{Flow: benchFlow(doc, n), Class: model.ClassSticky, Token: model.NewToken([]byte("token")), Binding: binding}
 }
 
-// openStream returns the binding of a new stream.
+// openStream opens a stream and returns its binding.
 func openStream(b *testing.B, e *engine.Engine, doc *model.Document, now model.Instant, n int) []byte {
 	b.Helper()
 	actions := e.Packet(now, streamPacket(doc, n, nil))
 	if len(actions) != 1 || actions[0].Verb != model.VerbChallenge {
-		b.Fatalf("no binding: %+v", actions)
+		b.Fatalf("new stream got no binding: %+v", actions)
 	}
 	return actions[0].Binding
 }
 
-// BenchmarkEstablished measures one packet of a stream that the instance knows.
+// BenchmarkEstablished measures one packet of a stream in the instance's table.
 func BenchmarkEstablished(b *testing.B) {
 	e, doc, now := benchEngine(b, model.KindCoAP)
 	p := streamPacket(doc, 1, openStream(b, e, doc, now, 1))
@@ -64,12 +64,12 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if e.Packet(now, p)[0].Verb != model.VerbForward {
-			b.Fatal("not forwarded")
+			b.Fatal("packet was not forwarded")
 		}
 	}
 }
 
-// BenchmarkBound measures the first packet of a stream that another instance placed: its binding is verified.
+// BenchmarkBound measures the first packet of a stream that another instance placed, which requires verification of its binding.
 func BenchmarkBound(b *testing.B) {
 	e, doc, now := benchEngine(b, model.KindCoAP)
 	p := streamPacket(doc, 1, openStream(b, e, doc, now, 1))
@@ -80,7 +80,7 @@
 	}
 	other.Binding = openStream(b, e, doc, now, 1)
 	if string(other.Binding) == string(p.Binding) {
-		b.Fatal("both bindings are the same")
+		b.Fatal("both streams got the same binding")
 	}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
@@ -101,7 +101,7 @@
 		p.Token = model.NewToken([]byte{byte(n), byte(n >> 8), byte(n >> 16), byte(n >> 24)})
 		a := e.Packet(now, p)[0]
 		if a.Verb != model.VerbForward {
-			b.Fatalf("not forwarded: %+v", a)
+			b.Fatalf("request was not forwarded: %+v", a)
 		}
 		e.Answer(now, &model.Answer{Flow: p.Flow, Token: p.Token, Outcome: model.OutcomeDone, From: a.Address, Boot: 7})
 		if n%1000 == 0 {
@@ -111,7 +111,7 @@
 	}
 }
 
-// BenchmarkFlow measures one datagram of an opaque flow that the instance knows.
+// BenchmarkFlow measures one datagram of an opaque flow in the instance's table.
 func BenchmarkFlow(b *testing.B) {
 	e, doc, now := benchEngine(b, model.KindDatagram)
 	p := &model.Packet{Flow: benchFlow(doc, 1), Class: model.ClassFlow}
@@ -119,12 +119,12 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if e.Packet(now, p)[0].Verb != model.VerbForward {
-			b.Fatal("not forwarded")
+			b.Fatal("packet was not forwarded")
 		}
 	}
 }
 
-// BenchmarkMemory reports the bytes that one known flow takes, at several numbers of flows.
+// BenchmarkMemory reports the memory used per flow for several numbers of flows.
 func BenchmarkMemory(b *testing.B) {
 	kinds := map[string]model.Kind{"stream": model.KindCoAP, "flow": model.KindDatagram}
 	for name, kind := range kinds {
--- a/internal/core/engine/engine.go
+++ b/internal/core/engine/engine.go
@@ -1,4 +1,11 @@
-// Package engine decides what happens to each packet; it does no I/O and reads no clock.
+// Package engine implements the forwarding decisions of one instance that relays both directions of the traffic. It does no I/O and
+// reads no clock: callers pass packets and times in and carry out the returned actions.
+//
+// An upstream has a number of slots, each owned by one instance. The owner of an upstream's first slot is the upstream's primary: it alone
+// sends to the upstream during a cold start or while no recent answer confirms that the upstream has not restarted. The home of a flow is
+// the instance that rendezvous hashing ranks first for the flow's addresses; any instance can compute it without coordination. A boot is
+// one start of a process. A bound packet carries a binding, a signed token that names the upstream of a stream or the issuer of a request
+// that must run at most once; see package bind.
 package engine
 
 import (
@@ -16,21 +23,21 @@
 	"hawthorncourse/internal/core/units"
 )
 
-// Config is what an Engine is built from.
+// Config configures an Engine.
 type Config struct {
-	// Self is this instance.
+	// Self describes this instance.
 	Self model.Member
-	// Start is the wall time of instant zero.
+	// Start is the wall-clock time that corresponds to instant zero.
 	Start time.Time
-	// Seed feeds every random choice.
+	// Seed seeds the random number generator behind every random choice.
 	Seed uint64
-	// StreamLimit is the most streams that are remembered at once.
+	// StreamLimit is the maximum number of streams, and of flows, that the engine tracks at the same time.
 	StreamLimit int
-	// Policy picks one of several free upstreams; nil for the default policy.
+	// Policy selects an upstream among those with a free slot; nil selects the default policy.
 	Policy choose.Policy[Candidate]
 }
 
-// Engine decides for one instance; its methods must not be called at the same time.
+// Engine holds the forwarding state of one instance. It is not safe for concurrent use.
 type Engine struct {
 	cfg    Config
 	rng    *rand.Rand
@@ -38,64 +45,71 @@
 
 	doc     *model.Document
 	members []model.Member
-	adopted map[model.DomainID]bool
-	// homes holds every member that takes packets, this instance included.
+	// orphaned marks the failure domains without a live instance, whose slots instances of other domains may own.
+	orphaned map[model.DomainID]bool
+	// homes holds every member that accepts new packets, including this instance unless it is stopping.
 	homes []rendez.Candidate[model.InstanceID]
-	// elders holds the homes and the instances that are leaving, which may know flows yet.
-	elders  []rendez.Candidate[model.InstanceID]
+	// homesAndLeaving holds homes and the instances in a planned stop, which may still hold the assignment of a flow.
+	homesAndLeaving []rendez.Candidate[model.InstanceID]
+	// issuers maps the issuer tags of all instances that are not dead.
 	issuers map[model.IssuerTag]model.InstanceID
-	// severed holds the issuers whose whole domain is silent: they may live on beyond a cut.
-	severed map[model.IssuerTag]bool
-	// loads holds what peers last said of how busy they are.
-	loads map[loadKey]float64
+	// partitioned marks the dead issuers whose whole failure domain is dead: a network partition may hide them while they still run.
+	partitioned map[model.IssuerTag]bool
+	// peerLoads holds the utilisation that each peer last reported, by service.
+	peerLoads map[loadKey]float64
 
-	table *units.Table
-	// heirs is who owns what once this instance has stopped; it is empty before its planned stop.
-	heirs     *units.Table
-	sealer    bind.Sealer
-	ledger    *once.Ledger
-	serial    uint64
-	services  map[netip.AddrPort]*service
-	upstreams map[model.UpstreamID]*upstream
-	senders   map[netip.AddrPort]*upstream
-	open      map[model.ExchangeKey]*exchange
+	// ownership holds the owner of each slot.
+	ownership *units.Table
+	// successors is the ownership without this instance; it is empty until the planned stop starts.
+	successors      *units.Table
+	signer          bind.Signer
+	ledger          *once.Ledger
+	lastSerial      uint64
+	services        map[netip.AddrPort]*service
+	upstreams       map[model.UpstreamID]*upstream
+	upstreamsByAddr map[netip.AddrPort]*upstream
+	// exchanges holds the requests that are queued or forwarded, and the finished ones.
+	exchanges map[model.ExchangeKey]*exchange
 	streams   streamTable
-	replies   replyTable
-	flows     flowTable
-	// late holds ended exchanges until their late answers can come no more.
-	late lateQueue
+	// pendingReplies holds the confirmable messages that callers have yet to acknowledge.
+	pendingReplies replyTable
+	flows          flowTable
+	// finished holds completed exchanges until a late answer can no longer arrive.
+	finished finishedQueue
 
 	lastStep model.Instant
-	// movedAt is when homes of flows last moved; zero for never.
-	movedAt model.Instant
-	// met is set once this instance has asked everyone that the platform lists, so that it knows its elders.
-	met bool
-	// stopAt is when the planned stop began; zero while there is none.
-	stopAt  model.Instant
-	urgent  bool
-	actions []model.Action
-	free    []Candidate
+	// topologyChangedAt is when the document or the members changed, or this instance's planned stop started, whichever was last; zero for never.
+	topologyChangedAt model.Instant
+	// peersContacted is set once this instance has contacted every instance that the platform lists, so that homesAndLeaving is complete.
+	peersContacted bool
+	// stopStartedAt is when the planned stop started; zero if it has not.
+	stopStartedAt model.Instant
+	// updateUrgent is set while PeerUpdates should be sent without waiting for the next interval.
+	updateUrgent bool
+	// actions and candidates are buffers that are reused from call to call.
+	actions    []model.Action
+	candidates []Candidate
 }
 
-// New returns an engine that refuses everything until it has a document, keys and members.
+// New returns an engine that refuses every packet until it has a document, keys and members.
 func New(cfg Config) *Engine {
 	e := &Engine{
-		cfg:       cfg,
-		rng:       rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self.Boot))),
-		policy:    cfg.Policy,
-		issuers:   map[model.IssuerTag]model.InstanceID{},
-		severed:   map[model.IssuerTag]bool{},
-		loads:     map[loadKey]float64{},
-		table:     units.NewTable(units.Config{Self: cfg.Self.ID}),
-		heirs:     units.NewTable(units.Config{Self: cfg.Self.ID}),
-		ledger:    once.NewLedger(),
-		services:  map[netip.AddrPort]*service{},
-		upstreams: map[model.UpstreamID]*upstream{},
-		senders:   map[netip.AddrPort]*upstream{},
-		open:      map[model.ExchangeKey]*exchange{},
-		streams:   newStreamTable(cfg.StreamLimit),
-		replies:   newReplyTable(),
-		flows:     newFlowTable(cfg.StreamLimit),
+		cfg:             cfg,
+		rng:             rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self.Boot))),
+		policy:          cfg.Policy,
+		issuers:         map[model.IssuerTag]model.InstanceID{},
+		partitioned:     map[model.IssuerTag]bool{},
+		peerLoads:       map[loadKey]float64{},
+		ownership:       units.NewTable(units.Config{Self: cfg.Self.ID}),
+		successors:      units.NewTable(units.Config{Self: cfg.Self.ID}),
+		ledger:          once.NewLedger(),
+		services:        map[netip.AddrPort]*service{},
+		upstreams:       map[model.UpstreamID]*upstream{},
+		upstreamsByAddr: map[netip.AddrPort]*upstream{},
+		exchanges:       map[model.ExchangeKey]*exchange{},
+		streams:         newStreamTable(cfg.StreamLimit),
+		pendingReplies:  newReplyTable(),
+		flows:           newFlowTable(cfg.StreamLimit),
 	}
 	if e.policy == nil {
 		e.policy, _ = PolicyByName(DefaultPolicy)
@@ -105,52 +119,53 @@
 	return e
 }
 
-// SetKeys replaces the binding keys unless they are older than those in use.
+// SetKeys replaces the binding keys; keys that are not newer than those in use are ignored.
 func (e *Engine) SetKeys(keys bind.Keys) {
-	e.sealer.SetKeys(keys)
+	e.signer.SetKeys(keys)
 }
 
-// SetDocument puts a document in force; it reports false for one that is not newer.
+// SetDocument applies a document; it reports false and changes nothing if the document is not newer than the current one.
 func (e *Engine) SetDocument(now model.Instant, doc *model.Document) bool {
 	if e.doc != nil && doc.Version <= e.doc.Version {
 		return false
 	}
-	e.begin(now)
+	e.beginStep(now)
 	e.doc = doc
 	e.indexDocument(now)
-	e.own(now)
-	e.copyFlows(now)
+	e.updateOwnership(now)
+	e.queueDisplacedFlows(now)
 	return true
 }
 
-// SetMembers replaces what is known of the instances; adopted names domains whose slots may be owned from elsewhere.
-func (e *Engine) SetMembers(now model.Instant, members []model.Member, adopted map[model.DomainID]bool) {
-	e.begin(now)
-	e.members, e.adopted = members, adopted
+// SetMembers replaces the list of instances. orphaned marks the failure domains whose slots instances of other domains may own.
+func (e *Engine) SetMembers(now model.Instant, members []model.Member, orphaned map[model.DomainID]bool) {
+	e.beginStep(now)
+	e.members, e.orphaned = members, orphaned
 	e.indexMembers()
-	e.own(now)
-	e.copyFlows(now)
+	e.updateOwnership(now)
+	e.queueDisplacedFlows(now)
 }
 
-// SetPeersContacted notes that this instance has asked every instance that the platform lists.
+// SetPeersContacted records that this instance has contacted every instance that the platform lists.
 func (e *Engine) SetPeersContacted() {
-	e.met = true
+	e.peersContacted = true
 }
 
-// Stop begins the planned stop: new work goes to peers, and what is bound here is finished.
+// Stop starts the planned stop: new requests go to peers, and requests bound to this instance are completed.
 func (e *Engine) Stop(now model.Instant) {
-	e.begin(now)
-	if e.stopAt == 0 {
-		e.stopAt = max(now, 1)
+	e.beginStep(now)
+	if e.stopStartedAt == 0 {
+		e.stopStartedAt = max(now, 1)
 		e.indexMembers()
-		e.copyFlows(now)
-		e.own(now)
+		e.queueDisplacedFlows(now)
+		e.updateOwnership(now)
 	}
 }
 
-// Stopped reports whether nothing is bound here any more.
+// Stopped reports whether the planned stop is complete: no request is running, and the longest time for which a caller may still depend on
+// this instance has passed.
 func (e *Engine) Stopped(now model.Instant) bool {
-	if e.stopAt == 0 {
+	if e.stopStartedAt == 0 {
 		return false
 	}
 	if e.doc == nil {
@@ -160,10 +175,10 @@
 	for _, s := range e.services {
 		wait = max(wait, s.cfg.RefreshInterval+s.cfg.RequestTimeout)
 	}
-	return now.Sub(e.stopAt) >= wait+e.doc.Timing.Detection && e.running() == 0
+	return now.Sub(e.stopStartedAt) >= wait+e.doc.Timing.Detection && e.running() == 0
 }
 
-// Version returns the version of the document in force, or zero.
+// Version returns the version of the current document, or zero if there is none.
 func (e *Engine) Version() model.Version {
 	if e.doc == nil {
 		return 0
@@ -171,48 +186,50 @@
 	return e.doc.Version
 }
 
-// begin starts one step; after a gap the process was paused, and its units may have other owners.
-func (e *Engine) begin(now model.Instant) {
+// beginStep starts one call into the engine. A gap of half the detection time since the last call means that the process was paused:
+// peers may have taken over its slots, so every slot is treated as newly gained and every upstream as unconfirmed.
+func (e *Engine) beginStep(now model.Instant) {
 	e.actions = e.actions[:0]
 	gap := now.Sub(e.lastStep)
 	e.lastStep = now
 	if e.doc == nil || gap < e.doc.Timing.Detection/2 {
 		return
 	}
-	e.table.RestartHoldOff()
-	e.own(now)
+	e.ownership.RestartHoldOff()
+	e.updateOwnership(now)
 	for _, up := range e.upstreams {
-		up.heard = 0
+		up.confirmedAt = 0
 	}
-	e.note(model.ReasonWoken)
+	e.countReason(model.ReasonWoken)
 }
 
-// own computes the ownership of units anew.
-func (e *Engine) own(now model.Instant) {
+// updateOwnership recomputes the owners of all slots.
+func (e *Engine) updateOwnership(now model.Instant) {
 	if e.doc == nil {
 		return
 	}
-	e.table.Update(now, units.Inputs{Document: e.doc, Members: e.owners(now), Orphaned: e.adopted})
-	if e.stopAt != 0 {
-		e.heirs.Update(now, units.Inputs{Document: e.doc, Members: e.others(), Orphaned: e.adopted})
+	e.ownership.Update(now, units.Inputs{Document: e.doc, Members: e.ownershipMembers(now), Orphaned: e.orphaned})
+	if e.stopStartedAt != 0 {
+		e.successors.Update(now, units.Inputs{Document: e.doc, Members: e.otherMembers(), Orphaned: e.orphaned})
 	}
 	for _, s := range e.services {
 		e.indexOwners(s)
 	}
 }
 
-// others returns every member but this instance.
-func (e *Engine) others() []model.Member {
+// otherMembers returns every member except this instance.
+func (e *Engine) otherMembers() []model.Member {
 	return slices.DeleteFunc(slices.Clone(e.members), func(m model.Member) bool { return m.ID == e.cfg.Self.ID })
 }
 
-// owners returns the members for ownership: a stopping instance keeps its own units until peers have noticed.
-func (e *Engine) owners(now model.Instant) []model.Member {
+// ownershipMembers returns the members from which ownership is computed: a stopping instance keeps its slots for the detection time, until
+// its peers have noticed the stop.
+func (e *Engine) ownershipMembers(now model.Instant) []model.Member {
 	members := make([]model.Member, 0, len(e.members))
 	for _, m := range e.members {
 		if m.ID == e.cfg.Self.ID {
 			m.State = model.MemberAlive
-			if e.stopAt != 0 && now.Sub(e.stopAt) > e.doc.Timing.Detection {
+			if e.stopStartedAt != 0 && now.Sub(e.stopStartedAt) > e.doc.Timing.Detection {
 				m.State = model.MemberLeaving
 			}
 		}
@@ -223,36 +240,36 @@
 
 func (e *Engine) indexMembers() {
 	clear(e.issuers)
-	clear(e.severed)
-	e.homes, e.elders = e.homes[:0], e.elders[:0]
-	live, dead := map[model.DomainID]bool{}, map[model.InstanceID]bool{}
+	clear(e.partitioned)
+	e.homes, e.homesAndLeaving = e.homes[:0], e.homesAndLeaving[:0]
+	liveDomains, deadInstances := map[model.DomainID]bool{}, map[model.InstanceID]bool{}
 	for _, m := range e.members {
-		live[m.Domain] = live[m.Domain] || m.State != model.MemberDead
-		dead[m.ID] = m.State == model.MemberDead
+		liveDomains[m.Domain] = liveDomains[m.Domain] || m.State != model.MemberDead
+		deadInstances[m.ID] = m.State == model.MemberDead
 	}
-	maps.DeleteFunc(e.loads, func(k loadKey, _ float64) bool { return dead[k.peer] })
+	maps.DeleteFunc(e.peerLoads, func(k loadKey, _ float64) bool { return deadInstances[k.peer] })
 	for _, m := range e.members {
 		if m.State == model.MemberDead {
-			e.severed[m.Tag()] = !live[m.Domain]
+			e.partitioned[m.Tag()] = !liveDomains[m.Domain]
 			continue
 		}
 		e.issuers[m.Tag()] = m.ID
 		c := rendez.NewCandidate(string(m.ID), m.ID)
-		e.elders = append(e.elders, c)
-		if m.State != model.MemberLeaving && (m.ID != e.cfg.Self.ID || e.stopAt == 0) {
+		e.homesAndLeaving = append(e.homesAndLeaving, c)
+		if m.State != model.MemberLeaving && (m.ID != e.cfg.Self.ID || e.stopStartedAt == 0) {
 			e.homes = append(e.homes, c)
 		}
 	}
 }
 
-// home returns the instance that keeps what must be found by the flow alone.
+// home returns the home instance of the flow, which keeps the state that is looked up by the flow alone; empty if there is no home.
 func (e *Engine) home(flow model.FlowKey) model.InstanceID {
 	id, _ := rendez.First(rendez.Key(flow.Hash()), e.homes)
 	return id
 }
 
-// wall returns the wall time in seconds since 1970.
-func (e *Engine) wall(now model.Instant) int64 {
+// unixTime returns the wall-clock time in seconds since 1970.
+func (e *Engine) unixTime(now model.Instant) int64 {
 	return e.cfg.Start.Add(time.Duration(now)).Unix()
 }
 
@@ -260,8 +277,8 @@
 	e.actions = append(e.actions, a)
 }
 
-// note counts a reason that ends no packet.
-func (e *Engine) note(reason model.Reason) {
+// countReason counts a reason without dropping a packet.
+func (e *Engine) countReason(reason model.Reason) {
 	e.emit(model.Action{Verb: model.VerbDrop, Reason: reason})
 }
 
@@ -269,21 +286,21 @@
 	e.emit(model.Action{Verb: model.VerbDrop, Reason: reason, Packet: p})
 }
 
-func (e *Engine) hand(p *model.Packet, peer model.InstanceID, reason model.Reason) {
+func (e *Engine) handOff(p *model.Packet, peer model.InstanceID, reason model.Reason) {
 	e.emit(model.Action{Verb: model.VerbHandOff, Reason: reason, Packet: p, Peer: peer})
 }
 
-func (e *Engine) unknown(p *model.Packet, reason model.Reason) {
+func (e *Engine) reportUnknown(p *model.Packet, reason model.Reason) {
 	e.emit(model.Action{Verb: model.VerbOutcomeUnknown, Reason: reason, Packet: p})
 }
 
 const (
 	retryAfter = time.Second
-	// settleFor is how long peers take to hear of the flows that moved to them.
-	settleFor = 30 * time.Second
+	// flowSettleTime is how long peers may take to receive the assignments of flows whose home is now theirs.
+	flowSettleTime = 30 * time.Second
 )
 
-// refuse tells the caller that its request was not run; it must never be forwarded after that.
+// refuse answers the caller that its request was not run; the request must never be forwarded afterwards.
 func (e *Engine) refuse(p *model.Packet, reason model.Reason) {
 	e.emit(model.Action{Verb: model.VerbRefuse, Reason: reason, Packet: p, RetryAfter: retryAfter})
 }
--- a/internal/core/engine/engine_test.go
+++ b/internal/core/engine/engine_test.go
@@ -10,7 +10,9 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// TestWorld lets instances, upstreams and callers act in any order and checks after each step what must hold.
+// TestWorld runs instances, upstreams and callers in random order, with lost and repeated messages, crashes, pauses and membership changes.
+// The world fails the test if a booking runs twice, if one runs that was refused as not run, or if an upstream gets more requests during a
+// cold start than it allows.
 func TestWorld(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
@@ -23,18 +25,18 @@
 			"book": func(t *rapid.T) {
 				b := &bookingSim{ref: uint64(len(w.bookings) + 1)}
 				w.bookings[b.ref] = b
-				w.toAny(t, w.bookingPacket(b))
+				w.sendToAny(t, w.bookingPacket(b))
 			},
 			"repeat": func(t *rapid.T) {
 				if len(w.bookings) == 0 {
-					t.Skip("no booking yet")
+					t.Skip("there is no booking yet")
 				}
 				b := w.bookings[uint64(rapid.IntRange(1, len(w.bookings)).Draw(t, "booking"))]
-				w.toAny(t, w.bookingPacket(b))
+				w.sendToAny(t, w.bookingPacket(b))
 			},
 			"read": func(t *rapid.T) {
 				n := rapid.IntRange(1, 500).Draw(t, "reader")
-				w.toAny(t, &model.Packet{
+				w.sendToAny(t, &model.Packet{
 					Flow:   model.FlowKey{Caller: addr(201, uint16(1000+n)), Service: w.doc.Services[n%2].Address},
 					Class:  model.ClassIdempotent,
 					Digest: uint64(10_000 + n),
@@ -44,29 +46,29 @@
 			"deliver": func(t *rapid.T) { w.deliverSome(t, true) },
 			"double":  func(t *rapid.T) { w.deliverSome(t, false) },
 			"lose": func(t *rapid.T) {
-				if len(w.mail) > 0 {
-					w.take(rapid.IntRange(0, len(w.mail)-1).Draw(t, "message"))
+				if len(w.messages) > 0 {
+					w.removeMessage(rapid.IntRange(0, len(w.messages)-1).Draw(t, "message"))
 				}
 			},
 			"tell members": func(t *rapid.T) {
 				n := rapid.IntRange(0, worldInstances-1).Draw(t, "instance")
-				w.learnViews(func(k int) bool { return k == n })
+				w.applyMemberships(func(k int) bool { return k == n })
 			},
 			"replace instance": func(t *rapid.T) {
 				n := rapid.IntRange(0, worldInstances-1).Draw(t, "instance")
-				if !w.settled() {
-					t.Skip("the last change is not known everywhere")
+				if !w.membershipSettled() {
+					t.Skip("not every instance knows the last membership")
 				}
 				w.startInstance(n)
-				w.newView()
+				w.addMembership()
 			},
 			"kill instance": func(t *rapid.T) {
 				n := rapid.IntRange(0, worldInstances-1).Draw(t, "instance")
-				if !w.settled() || w.instances[n].dead {
-					t.Skip("the last change is not known everywhere")
+				if !w.membershipSettled() || w.instances[n].dead {
+					t.Skip("not every instance knows the last membership, or the instance is dead already")
 				}
 				w.instances[n].dead = true
-				w.newView()
+				w.addMembership()
 			},
 			"pause instance": func(t *rapid.T) {
 				w.instances[rapid.IntRange(0, worldInstances-1).Draw(t, "instance")].paused = true
@@ -82,8 +84,8 @@
 			},
 			"start upstream": func(t *rapid.T) {
 				up := w.anyUpstream(t)
-				if !up.dead || w.now.Sub(up.deadSince) <= worldTiming.WarmLease+flightTime+step {
-					t.Skip("it did not keep silent for as long as an answer is trusted")
+				if !up.dead || w.now.Sub(up.deadSince) <= worldTiming.WarmLease+maxTransit+step {
+					t.Skip("the upstream is running, or its last answer still confirms the old boot")
 				}
 				w.boots++
 				up.dead, up.boot, up.running = false, model.BootID(w.boots), 0
@@ -101,7 +103,7 @@
 				for _, doc := range []*model.Document{old, w.doc} {
 					in.engine.SetDocument(w.now, doc)
 					if in.engine.Version() < in.version {
-						t.Fatalf("version fell from %d to %d", in.version, in.engine.Version())
+						t.Fatalf("document version decreased from %d to %d", in.version, in.engine.Version())
 					}
 					in.version = in.engine.Version()
 				}
@@ -110,39 +112,39 @@
 	})
 }
 
-func (w *world) toAny(t *rapid.T, p *model.Packet) {
-	w.mail = append(w.mail, message{to: rapid.IntRange(0, worldInstances-1).Draw(t, "to"), from: -1, packet: p})
+func (w *world) sendToAny(t *rapid.T, p *model.Packet) {
+	w.messages = append(w.messages, message{to: rapid.IntRange(0, worldInstances-1).Draw(t, "to"), from: -1, packet: p})
 }
 
-// deliverSome delivers messages in any order; what goes to an upstream arrives at most once.
+// deliverSome delivers random messages, which stay in flight unless remove is set; a message to an upstream is delivered at most once.
 func (w *world) deliverSome(t *rapid.T, remove bool) {
 	for range rapid.IntRange(1, 8).Draw(t, "count") {
-		if len(w.mail) == 0 {
+		if len(w.messages) == 0 {
 			return
 		}
-		n := rapid.IntRange(0, len(w.mail)-1).Draw(t, "message")
-		if remove || w.mail[n].upstream != nil {
-			w.deliver(w.take(n))
+		n := rapid.IntRange(0, len(w.messages)-1).Draw(t, "message")
+		if remove || w.messages[n].upstream != nil {
+			w.deliver(w.removeMessage(n))
 		} else {
-			w.deliver(w.mail[n])
+			w.deliver(w.messages[n])
 		}
 	}
 }
 
-func (w *world) take(n int) message {
-	m := w.mail[n]
-	w.mail = append(w.mail[:n:n], w.mail[n+1:]...)
+func (w *world) removeMessage(n int) message {
+	m := w.messages[n]
+	w.messages = append(w.messages[:n:n], w.messages[n+1:]...)
 	return m
 }
 
-// settled reports whether every instance that runs knows the last membership.
-func (w *world) settled() bool {
+// membershipSettled reports whether every running instance knows the last membership and its hold-offs are over.
+func (w *world) membershipSettled() bool {
 	for _, in := range w.instances {
-		if !in.dead && (in.paused || in.view != len(w.views)-1) {
+		if !in.dead && (in.paused || in.membership != len(w.memberships)-1) {
 			return false
 		}
 	}
-	return w.now.Sub(w.viewAt[len(w.viewAt)-1]) > worldTiming.Detection+2*time.Second
+	return w.now.Sub(w.membershipSince[len(w.membershipSince)-1]) > worldTiming.Detection+2*time.Second
 }
 
 func (w *world) anyUpstream(t *rapid.T) *upstreamSim {
@@ -150,8 +152,8 @@
 	return w.upstreams[svc.Upstreams[rapid.IntRange(0, worldUpstreams-1).Draw(t, "upstream")].Address]
 }
 
-// warmWorld returns a world in which every upstream has answered and is warm.
-func warmWorld(t *rapid.T) *world {
+// settledWorld returns a world that has run for long enough that every slot is usable.
+func settledWorld(t *rapid.T) *world {
 	w := newWorld(t)
 	for range 100 {
 		w.advance()
@@ -159,30 +161,30 @@
 	return w
 }
 
-// TestBookingRuns checks that an undisturbed booking runs, once.
+// TestBookingRuns checks that a booking runs exactly once if no fault occurs.
 func TestBookingRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		is := is.NewRelaxed(failer{t})
-		w := warmWorld(t)
+		is := is.NewRelaxed(rapidT{t})
+		w := settledWorld(t)
 		b := &bookingSim{ref: uint64(rapid.IntRange(1, 40).Draw(t, "ref"))}
 		w.bookings[b.ref] = b
 		for range 2 {
-			w.toAny(t, w.bookingPacket(b))
-			for len(w.mail) > 0 {
-				w.deliver(w.take(0))
+			w.sendToAny(t, w.bookingPacket(b))
+			for len(w.messages) > 0 {
+				w.deliver(w.removeMessage(0))
 			}
 		}
 		is.Equal(b.runs, 1)
 	})
 }
 
-// failer lets is report to rapid.
-type failer struct {
+// rapidT adapts rapid.T to the interface of package is.
+type rapidT struct {
 	*rapid.T
 }
 
 // Fail implements is.T.
-func (f failer) Fail() { f.T.Fail() }
+func (f rapidT) Fail() { f.T.Fail() }
 
 // FailNow implements is.T.
-func (f failer) FailNow() { f.T.FailNow() }
+func (f rapidT) FailNow() { f.T.FailNow() }
--- a/internal/core/engine/flow.go
+++ b/internal/core/engine/flow.go
@@ -11,159 +11,164 @@
 )
 
 const (
-	// flowHops lets the home of an opaque flow ask the instance that was its home before, and have the packet back.
-	flowHops = model.MaxHops + 2
-	// askedHops is what a packet has at least when it comes back to its home.
-	askedHops = model.MaxHops + 1
-	// proberHops lets the home hand it to the prober of its upstream after that.
-	proberHops = flowHops + 1
-	// toldLife is how long a peer's word of a flow is kept unused.
-	toldLife = 10 * time.Minute
+	// flowMaxHops allows the home of an opaque flow to hand a packet to the flow's previous home and to get it back.
+	flowMaxHops = model.MaxHops + 2
+	// flowReturnHops is the minimum hop count of a packet that the previous home has handed back.
+	flowReturnHops = model.MaxHops + 1
+	// flowPrimaryMaxHops allows the home to hand the packet to the primary of its upstream after that.
+	flowPrimaryMaxHops = flowMaxHops + 1
+	// peerAssignmentLife is how long an unused assignment from a peer is kept.
+	peerAssignmentLife = 10 * time.Minute
 )
 
-// flow is one opaque flow that this instance knows the place of.
+// flow is the assignment of one opaque flow.
 type flow struct {
 	up *upstream
-	// boot is the upstream's start when the flow was placed; zero if it was not known.
+	// boot is the upstream's boot when the flow was placed; zero if it was not known.
 	boot model.BootID
 }
 
-// flowTable holds the flows that this instance placed or was told of.
+// flowTable holds the flows that this instance placed or relayed and the assignments exchanged with peers.
 type flowTable struct {
 	flows *recent.Table[model.FlowKey, flow]
-	// told holds what peers said of flows that this instance is or may become the home of.
-	told *recent.Table[model.FlowKey, *upstream]
-	// copies holds the flows that sit elsewhere than at their default and are yet to be told to peers.
-	copies queue.Queue[FlowAssignment]
+	// peerAssignments holds the assignments that peers sent, of flows of which this instance is or may become the home.
+	peerAssignments *recent.Table[model.FlowKey, *upstream]
+	// outgoing holds the assignments of displaced flows that have not been sent to peers yet.
+	outgoing queue.Queue[FlowAssignment]
 }
 
 func newFlowTable(limit int) flowTable {
-	return flowTable{flows: recent.New[model.FlowKey, flow](limit), told: recent.New[model.FlowKey, *upstream](limit)}
+	return flowTable{flows: recent.New[model.FlowKey, flow](limit), peerAssignments: recent.New[model.FlowKey, *upstream](limit)}
 }
 
-// flowPacket decides on an opaque datagram: known flows go on, others go to their home, which places them.
+// flowPacket handles an opaque datagram. A packet of a known flow is relayed; any other is handed to the flow's home, which places the flow.
 func (e *Engine) flowPacket(now model.Instant, s *service, p *model.Packet) {
-	if e.knownFlow(now, s, p) {
+	if e.relayKnownFlow(now, s, p) {
 		return
 	}
-	if peer := e.flowPeer(now, p); peer != "" {
-		e.hand(p, peer, model.ReasonHome)
+	if peer := e.nextFlowPeer(now, p); peer != "" {
+		e.handOff(p, peer, model.ReasonHome)
 		return
 	}
 	e.placeFlow(now, s, p)
 }
 
-// knownFlow relays a packet whose place this instance knows, by itself or by word of a peer; else it reports false.
-func (e *Engine) knownFlow(now model.Instant, s *service, p *model.Packet) bool {
-	if f := e.flows.flows.Touch(now, p.Flow); f != nil && e.standing(f.up) && f.fresh() {
-		e.keptPacket(now, p, f)
+// relayKnownFlow relays a packet whose upstream is known from this instance's own table, from the packet itself or from a peer's assignment;
+// otherwise it reports false.
+func (e *Engine) relayKnownFlow(now model.Instant, s *service, p *model.Packet) bool {
+	if f := e.flows.flows.Touch(now, p.Flow); f != nil && e.servesEstablished(f.up) && f.sameBoot() {
+		e.relayRecordedFlow(now, p, f)
 		return true
 	}
-	if up := e.upstreams[p.Upstream]; up != nil && up.service == s && e.standing(up) {
-		e.probeFlow(now, p, up)
+	if up := e.upstreams[p.Upstream]; up != nil && up.service == s && e.servesEstablished(up) {
+		e.relayRedirectedFlow(now, p, up)
 		return true
 	}
-	if up := e.flows.told.Touch(now, p.Flow); up != nil && e.standing(*up) {
-		e.keepFlow(now, p.Flow, *up)
+	if up := e.flows.peerAssignments.Touch(now, p.Flow); up != nil && e.servesEstablished(*up) {
+		e.recordFlow(now, p.Flow, *up)
 		e.relay(now, p, *up)
 		return true
 	}
 	return false
 }
 
-// flowPeer returns who should have a packet of an unknown flow: its home, or for the home its elder; none for whoever places it.
-func (e *Engine) flowPeer(now model.Instant, p *model.Packet) model.InstanceID {
-	if home := e.home(p.Flow); home != e.cfg.Self.ID && p.Hops < flowHops {
+// nextFlowPeer returns the instance that should get a packet of an unknown flow: its home or, if this instance is the home and the topology
+// changed recently, its previous home. It returns "" if this instance should place the flow.
+func (e *Engine) nextFlowPeer(now model.Instant, p *model.Packet) model.InstanceID {
+	if home := e.home(p.Flow); home != e.cfg.Self.ID && p.Hops < flowMaxHops {
 		return home
 	}
-	if e.settling(now) && p.Hops < askedHops {
-		return e.elder(p.Flow)
+	if e.flowsSettling(now) && p.Hops < flowReturnHops {
+		return e.previousHome(p.Flow)
 	}
 	return ""
 }
 
-// probeFlow relays a packet of a flow that another instance placed while it was not sure of the upstream.
-func (e *Engine) probeFlow(now model.Instant, p *model.Packet, up *upstream) {
-	if up.unsure(now, e.doc.Timing.WarmLease) {
+// relayRedirectedFlow relays, as the upstream's primary, a packet of a flow that was placed while the upstream's boot was unconfirmed or
+// unknown. Once the boot is confirmed, the flow counts against the limit of the cold start.
+func (e *Engine) relayRedirectedFlow(now model.Instant, p *model.Packet, up *upstream) {
+	if up.unconfirmed(now, e.doc.Timing.WarmLease) {
 		e.relay(now, p, up)
 		return
 	}
 	if now < up.coldUntil {
-		if up.coldOpened >= up.cfg.ColdConnections {
+		if up.coldStreams >= up.cfg.ColdConnections {
 			e.drop(p, model.ReasonNoUpstream)
 			return
 		}
-		up.coldOpened++
+		up.coldStreams++
 	}
-	e.keepFlow(now, p.Flow, up)
+	e.recordFlow(now, p.Flow, up)
 	e.relay(now, p, up)
 }
 
-// keptPacket relays a packet of a known flow; one that was placed before the upstream was known to be cold goes to its prober.
-func (e *Engine) keptPacket(now model.Instant, p *model.Packet, f *flow) {
-	if f.boot != 0 || now >= f.up.coldUntil || f.up.unsure(now, e.doc.Timing.WarmLease) {
+// relayRecordedFlow relays a packet of a flow in this instance's table. If the flow was placed before the upstream was known to be in a cold
+// start, the packet goes to the upstream's primary.
+func (e *Engine) relayRecordedFlow(now model.Instant, p *model.Packet, f *flow) {
+	if f.boot != 0 || now >= f.up.coldUntil || f.up.unconfirmed(now, e.doc.Timing.WarmLease) {
 		e.relay(now, p, f.up)
 		return
 	}
-	if !e.handProber(p, f.up) {
-		e.probeFlow(now, p, f.up)
+	if !e.handToPrimary(p, f.up) {
+		e.relayRedirectedFlow(now, p, f.up)
 	}
 }
 
-// fresh reports whether the upstream has not restarted since the flow was placed.
-func (f *flow) fresh() bool {
+// sameBoot reports whether the upstream has not restarted since the flow was placed, as far as known.
+func (f *flow) sameBoot() bool {
 	return f.boot == 0 || f.up.boot == 0 || f.boot == f.up.boot
 }
 
-// keepFlow remembers where a flow sits.
-func (e *Engine) keepFlow(now model.Instant, key model.FlowKey, up *upstream) {
+// recordFlow stores the upstream of a flow.
+func (e *Engine) recordFlow(now model.Instant, key model.FlowKey, up *upstream) {
 	old := e.flows.flows.Peek(key)
 	if old != nil {
 		old.up.streams--
 	}
 	if !e.flows.flows.Put(now, key, flow{up: up, boot: up.boot}) {
-		e.note(model.ReasonFlowLimit)
+		e.countReason(model.ReasonFlowLimit)
 		return
 	}
 	up.streams++
 }
 
-// elder returns the instance that was the flow's home before membership changed, if it was not this one.
-func (e *Engine) elder(key model.FlowKey) model.InstanceID {
-	first, second := rendez.FirstTwo(rendez.Key(key.Hash()), e.elders)
+// previousHome returns the instance that most likely was the flow's home before the members changed: the highest ranked among
+// homesAndLeaving other than this instance.
+func (e *Engine) previousHome(key model.FlowKey) model.InstanceID {
+	first, second := rendez.FirstTwo(rendez.Key(key.Hash()), e.homesAndLeaving)
 	if first == e.cfg.Self.ID {
 		return second
 	}
 	return first
 }
 
-// settling reports whether flows may still be known at their earlier home only.
-func (e *Engine) settling(now model.Instant) bool {
-	return e.movedAt != 0 && now.Sub(e.movedAt) < settleFor
+// flowsSettling reports whether the topology changed so recently that only a flow's previous home may hold its assignment.
+func (e *Engine) flowsSettling(now model.Instant) bool {
+	return e.topologyChangedAt != 0 && now.Sub(e.topologyChangedAt) < flowSettleTime
 }
 
-// placeFlow gives an unknown flow the first upstream in its order that has room.
+// placeFlow assigns an unknown flow to the first upstream in its upstreamOrder that has room.
 func (e *Engine) placeFlow(now model.Instant, s *service, p *model.Packet) {
-	if !e.met && now < model.Instant(e.doc.Timing.Detection) {
-		// Its earlier home may not be known yet; the caller's next packet comes later.
+	if !e.peersContacted && now < model.Instant(e.doc.Timing.Detection) {
+		// The flow's previous home may not be known yet. The flow is placed by a later packet.
 		e.drop(p, model.ReasonNotReady)
 		return
 	}
-	order := defaultOrder(s, p.Flow)
+	order := upstreamOrder(s, p.Flow)
 	for n, up := range order {
-		if !e.flowRoom(now, up) {
-			if n == 0 && e.awaitStart(now, p, up) {
+		if !e.hasFlowRoom(now, up) {
+			if n == 0 && e.awaitBootTime(now, p, up) {
 				return
 			}
 			continue
 		}
-		e.keepFlow(now, p.Flow, up)
-		up.opened.add(now, s.cfg.RefreshInterval)
+		e.recordFlow(now, p.Flow, up)
+		up.openedStreams.add(now, s.cfg.RefreshInterval)
 		if now < up.coldUntil {
-			up.coldOpened++
+			up.coldStreams++
 		}
 		if n > 0 {
-			e.copyFlow(p.Flow, up)
+			e.queueAssignment(p.Flow, up)
 		}
 		e.relay(now, p, up)
 		return
@@ -171,38 +176,38 @@
 	e.drop(p, model.ReasonNoUpstream)
 }
 
-// awaitStart lets a packet wait for word of when the flow's default upstream started, if this instance cannot tell: the
-// flow may sit there since long before, with an earlier home that has left.
-func (e *Engine) awaitStart(now model.Instant, p *model.Packet, up *upstream) bool {
-	if !up.guessed || now >= up.coldUntil || !e.settling(now) || up.closed() {
+// awaitBootTime delays a packet while it is not known when the flow's first-ranked upstream started: the flow may have been assigned to it
+// long before, by a previous home that has left. The packet goes to the upstream's primary or is parked here; false means no delay is needed.
+func (e *Engine) awaitBootTime(now model.Instant, p *model.Packet, up *upstream) bool {
+	if !up.bootTimeInferred || now >= up.coldUntil || !e.flowsSettling(now) || up.noNewWork() {
 		return false
 	}
-	if e.handProber(p, up) {
+	if e.handToPrimary(p, up) {
 		return true
 	}
 	e.park(p, up)
 	return true
 }
 
-// flowRoom reports whether this instance may place one more flow at the upstream.
-func (e *Engine) flowRoom(now model.Instant, up *upstream) bool {
+// hasFlowRoom reports whether this instance may assign one more flow to the upstream.
+func (e *Engine) hasFlowRoom(now model.Instant, up *upstream) bool {
 	lease := e.doc.Timing.WarmLease
-	if up.closed() || up.share == nil || now < up.pauseUntil {
+	if up.noNewWork() || up.allocation == nil || now < up.pauseUntil {
 		return false
 	}
 	if now < up.coldUntil {
-		return up.share.IsPrimary(now) && !up.unsure(now, lease) && up.coldOpened < up.cfg.ColdConnections
+		return up.allocation.IsPrimary(now) && !up.unconfirmed(now, lease) && up.coldStreams < up.cfg.ColdConnections
 	}
 	instances := max(len(e.homes), 1)
-	open := max(up.reported, up.streams*instances)
-	return (up.cfg.Connections-open)/instances > up.opened.sum(now, up.service.cfg.RefreshInterval)
+	open := max(up.reportedStreams, up.streams*instances)
+	return (up.cfg.Connections-open)/instances > up.openedStreams.sum(now, up.service.cfg.RefreshInterval)
 }
 
-// flowAnswer relays a datagram of an upstream to the flow's caller.
+// flowAnswer relays a datagram from an upstream to the flow's caller.
 func (e *Engine) flowAnswer(now model.Instant, a *model.Answer, up *upstream) {
 	f := e.flows.flows.Touch(now, a.Flow)
 	if f != nil && f.up != up {
-		e.lose(a, model.ReasonAnswerUnexpected)
+		e.dropAnswer(a, model.ReasonAnswerUnexpected)
 		return
 	}
 	if f != nil && f.boot == 0 {
@@ -211,8 +216,8 @@
 	e.emit(model.Action{Verb: model.VerbDeliver, Answer: a, Raw: a.Raw})
 }
 
-// defaultOrder ranks the upstreams that take new flows; every instance finds the same order.
-func defaultOrder(s *service, key model.FlowKey) []*upstream {
+// upstreamOrder ranks the upstreams that accept new flows by weighted rendezvous hashing; every instance computes the same order.
+func upstreamOrder(s *service, key model.FlowKey) []*upstream {
 	type ranked struct {
 		up    *upstream
 		score float64
@@ -237,14 +242,14 @@
 	return order
 }
 
-// homePair returns the flow's home and the instance that would be its home without it.
-func (e *Engine) homePair(key model.FlowKey) (first, second model.InstanceID) {
+// homeAndBackup returns the flow's home and the instance that becomes its home if the first one fails.
+func (e *Engine) homeAndBackup(key model.FlowKey) (first, second model.InstanceID) {
 	return rendez.FirstTwo(rendez.Key(key.Hash()), e.homes)
 }
 
 func (e *Engine) expireFlows(now model.Instant) {
-	e.flows.flows.Expire(now, streamLives*e.refreshInterval(), func(_ model.FlowKey, f *flow) {
+	e.flows.flows.Expire(now, streamLifeIntervals*e.refreshInterval(), func(_ model.FlowKey, f *flow) {
 		f.up.streams--
 	})
-	e.flows.told.Expire(now, toldLife, func(model.FlowKey, **upstream) {})
+	e.flows.peerAssignments.Expire(now, peerAssignmentLife, func(model.FlowKey, **upstream) {})
 }
--- a/internal/core/engine/flow_test.go
+++ b/internal/core/engine/flow_test.go
@@ -12,13 +12,13 @@
 	"hawthorncourse/internal/core/rendez"
 )
 
-// flowCold is longer than the time in which the owners of an upstream hear of its start.
+// flowCold is longer than the owners of an upstream take to receive the observation of its boot.
 const flowCold = 3 * time.Second
 
-// joinerUpstreams are so many that each instance is the prober of some.
+// joinerUpstreams is large enough for each instance to be the primary of some upstream.
 const joinerUpstreams = 12
 
-// joiner is an instance that has become the home of flows which others placed before.
+// joiner is an instance that has just joined and become the home of flows that other instances placed before.
 type joiner struct {
 	*is.I
 	e    *engine.Engine
@@ -50,13 +50,13 @@
 	return model.Member{ID: id, Domain: "east", Boot: 1, State: model.MemberAlive, Control: addr(90, 1)}
 }
 
-// meet lets the instance know every other.
-func (j *joiner) meet() {
+// learnMembers passes all members to the instance and marks them as contacted.
+func (j *joiner) learnMembers() {
 	j.e.SetMembers(j.now, j.all, nil)
 	j.e.SetPeersContacted()
 }
 
-// wait lets time pass in small steps, so that the instance was never paused.
+// wait advances the time in small steps, so that the engine does not take the gap for a pause of the process.
 func (j *joiner) wait(d time.Duration) (out []model.Action) {
 	for end := j.now.Add(d); j.now < end; {
 		j.now = j.now.Add(step)
@@ -65,7 +65,7 @@
 	return out
 }
 
-// flow returns a flow whose home is the joiner and whose default is the upstream.
+// flow returns a flow whose home is the joiner and whose first-ranked upstream is up.
 func (j *joiner) flow(up model.UpstreamID) model.FlowKey {
 	j.Helper()
 	var homes []rendez.Candidate[model.InstanceID]
@@ -89,12 +89,12 @@
 	return model.FlowKey{}
 }
 
-// asked passes a packet of a flow that comes back from its earlier home, which does not know it.
-func (j *joiner) asked(f model.FlowKey) []model.Action {
+// returnedPacket passes a packet of the flow that the flow's previous home, which does not know the flow, has handed back.
+func (j *joiner) returnedPacket(f model.FlowKey) []model.Action {
 	return j.e.Packet(j.now, &model.Packet{Flow: f, Class: model.ClassFlow, Hops: 3, Raw: []byte("x")})
 }
 
-// answer lets an upstream answer a flow.
+// answer passes an answer of the upstream to the flow.
 func (j *joiner) answer(f model.FlowKey, up model.UpstreamID) {
 	for _, u := range j.doc.Services[0].Upstreams {
 		if u.ID == up {
@@ -103,8 +103,8 @@
 	}
 }
 
-// prober returns who owns the first slot of an upstream.
-func (j *joiner) prober(up model.UpstreamID) model.InstanceID {
+// primary returns the owner of the upstream's first slot.
+func (j *joiner) primary(up model.UpstreamID) model.InstanceID {
 	var pool []rendez.Candidate[model.InstanceID]
 	for _, m := range j.all {
 		pool = append(pool, rendez.NewCandidate(string(m.ID), m.ID))
@@ -113,43 +113,44 @@
 	return id
 }
 
-// TestFirstWord replays an instance that has just become a flow's home and heard of the flow's upstream for the first time
-// from the upstream itself, which may have been warm for hours: the flow must not move.
-func TestFirstWord(t *testing.T) {
+// TestFirstAnswerKeepsFlow checks that a flow does not move when its new home first learns of the flow's upstream from an answer of the
+// upstream itself. The new home cannot tell from the answer when the upstream started; if it took the upstream for cold, it would assign the
+// flow elsewhere although the upstream may have served it for hours.
+func TestFirstAnswerKeepsFlow(t *testing.T) {
 	j := newJoiner(t)
-	var own, other model.UpstreamID
+	var primaryHere, primaryElsewhere model.UpstreamID
 	for _, u := range j.doc.Services[0].Upstreams {
-		if j.prober(u.ID) == j.self.ID {
-			own = u.ID
+		if j.primary(u.ID) == j.self.ID {
+			primaryHere = u.ID
 		} else {
-			other = u.ID
+			primaryElsewhere = u.ID
 		}
 	}
 	cases := map[string]struct {
 		up model.UpstreamID
-		// told is set if the earlier prober says when the upstream started.
-		told bool
+		// bootTimeReported is set if the previous primary reports when the upstream started.
+		bootTimeReported bool
 	}{
-		"another instance is the prober":                   {up: other},
-		"this instance is the prober, and is told":         {up: own, told: true},
-		"this instance is the prober, the earlier is dead": {up: own},
+		"another instance is the primary":                  {up: primaryElsewhere},
+		"this instance is the primary, boot time reported": {up: primaryHere, bootTimeReported: true},
+		"this instance is the primary, previous one dead":  {up: primaryHere},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			j := newJoiner(t)
-			j.meet()
+			j.learnMembers()
 			f := j.flow(tc.up)
 			j.answer(f, tc.up)
 			var got []model.Action
-			got = append(got, j.asked(f)...)
-			if tc.told {
+			got = append(got, j.returnedPacket(f)...)
+			if tc.bootTimeReported {
 				j.wait(100 * time.Millisecond)
 				got = append(got, j.e.ApplyPeerUpdate(j.now, engine.PeerUpdate{Observations: []engine.Observation{{Upstream: tc.up, Boot: 7, BootAge: time.Hour, ConfirmedAge: step}}})...)
-				got = append(got, j.asked(f)...)
+				got = append(got, j.returnedPacket(f)...)
 			} else {
 				got = append(got, j.wait(flowCold)...)
 				j.answer(f, tc.up)
-				got = append(got, j.asked(f)...)
+				got = append(got, j.returnedPacket(f)...)
 			}
 			reached := false
 			for _, a := range got {
@@ -158,7 +159,7 @@
 					j.Equal(a.Upstream, tc.up)
 					reached = true
 				case model.VerbHandOff:
-					j.Equal(a.Peer, j.prober(tc.up))
+					j.Equal(a.Peer, j.primary(tc.up))
 					j.Equal(a.Packet.Upstream, tc.up)
 					reached = true
 				default:
@@ -169,32 +170,34 @@
 	}
 }
 
-// TestNotMet replays an instance that gets a packet before it knows all others: it must not place a flow that one of them may know.
-func TestNotMet(t *testing.T) {
+// TestPeersNotContacted checks that an instance that has not contacted all peers yet drops a packet of an unknown flow: a peer may hold the
+// flow's assignment, and placing the flow again could move it. After the detection time the flow is placed.
+func TestPeersNotContacted(t *testing.T) {
 	j := newJoiner(t)
-	got := j.asked(j.flow("up-1"))
+	got := j.returnedPacket(j.flow("up-1"))
 	j.Equal(len(got), 1)
 	j.Equal(got[0].Verb, model.VerbDrop)
 	j.Equal(got[0].Reason, model.ReasonNotReady)
 	j.wait(worldTiming.Detection)
-	got = j.asked(j.flow("up-1"))
+	got = j.returnedPacket(j.flow("up-1"))
 	j.Equal(got[len(got)-1].Verb, model.VerbForward)
 }
 
-// TestSucceed replays a change of an upstream's prober: the earlier one tells the next when the upstream started.
-func TestSucceed(t *testing.T) {
+// TestPrimaryHandover checks that an instance that ceases to be the primary of an upstream reports when the upstream started. Otherwise the next
+// primary would take a warm upstream for cold.
+func TestPrimaryHandover(t *testing.T) {
 	cases := map[string]struct {
 		change func(*joiner)
 	}{
 		"two instances join": {change: func(j *joiner) {
 			j.e.SetMembers(j.now, append(j.all, member("instance-10"), member("instance-11")), nil)
 		}},
-		"this one stops": {change: func(j *joiner) { j.e.Stop(j.now) }},
+		"this instance stops": {change: func(j *joiner) { j.e.Stop(j.now) }},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			j := newJoiner(t)
-			j.meet()
+			j.learnMembers()
 			for _, u := range j.doc.Services[0].Upstreams {
 				j.answer(j.flow(u.ID), u.ID)
 			}
@@ -205,16 +208,16 @@
 			j.e.PeerUpdates(j.now)
 			tc.change(j)
 			j.True(j.e.TakeUrgent())
-			heard := false
-			for _, l := range j.e.PeerUpdates(j.now) {
-				for _, s := range l.Observations {
-					if j.prober(s.Upstream) == j.self.ID {
-						heard = true
-						j.True(!s.BootTimeInferred)
+			reported := false
+			for _, update := range j.e.PeerUpdates(j.now) {
+				for _, observation := range update.Observations {
+					if j.primary(observation.Upstream) == j.self.ID {
+						reported = true
+						j.True(!observation.BootTimeInferred)
 					}
 				}
 			}
-			j.True(heard)
+			j.True(reported)
 		})
 	}
 }
--- a/internal/core/engine/load.go
+++ b/internal/core/engine/load.go
@@ -4,10 +4,10 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// Load is how busy one instance's slots of one service are.
+// Load is the utilisation of the slots that one instance owns of one service.
 type Load struct {
 	Service model.ServiceID
-	// Utilisation is the share of the owned slots that was lately in use; what waits counts too.
+	// Utilisation is the recent mean of running and queued requests per owned slot.
 	Utilisation float64
 }
 
@@ -16,50 +16,50 @@
 	service model.ServiceID
 }
 
-// Loads returns how busy the slots of each service are here.
+// Loads returns this instance's utilisation for each service of which it owns slots.
 func (e *Engine) Loads(now model.Instant) []Load {
 	var out []Load
 	for _, s := range e.services {
-		if s.mine > 0 {
-			out = append(out, Load{Service: s.cfg.ID, Utilisation: s.busy.read(now)})
+		if s.ownedSlots > 0 {
+			out = append(out, Load{Service: s.cfg.ID, Utilisation: s.utilisation.read(now)})
 		}
 	}
 	return out
 }
 
-// SetPeerLoads takes what a peer says of how busy it is.
+// SetPeerLoads stores the utilisation that a peer reports.
 func (e *Engine) SetPeerLoads(from model.InstanceID, loads []Load) {
 	for _, l := range loads {
-		e.loads[loadKey{peer: from, service: l.Service}] = l.Utilisation
+		e.peerLoads[loadKey{peer: from, service: l.Service}] = l.Utilisation
 	}
 }
 
-// busyAt returns how busy an instance is with a service by all that is known here.
-func (e *Engine) busyAt(now model.Instant, s *service, id model.InstanceID) float64 {
+// utilisationOf returns the last known utilisation of an instance for a service; zero if it has reported none.
+func (e *Engine) utilisationOf(now model.Instant, s *service, id model.InstanceID) float64 {
 	if id == e.cfg.Self.ID {
-		return s.busy.read(now)
+		return s.utilisation.read(now)
 	}
-	return e.loads[loadKey{peer: id, service: s.cfg.ID}]
+	return e.peerLoads[loadKey{peer: id, service: s.cfg.ID}]
 }
 
-// markLoads follows how busy the slots of each service are.
-func (e *Engine) markLoads(now model.Instant) {
+// updateUtilisation records the utilisation of each service's slots.
+func (e *Engine) updateUtilisation(now model.Instant) {
 	for _, s := range e.services {
-		s.busy.set(now, float64(s.running())/float64(max(s.mine, 1)))
+		s.utilisation.set(now, float64(s.running())/float64(max(s.ownedSlots, 1)))
 	}
 }
 
-// keepSlack is how much busier than its neighbours an instance may be and still keep new work.
-const keepSlack = 1.1
+// neighbourLoadSlack is the factor by which an instance's utilisation may exceed its neighbours' mean before it hands new requests to them.
+const neighbourLoadSlack = 1.1
 
-// idle reports whether this instance is no busier with the service than its neighbours on average.
-func (e *Engine) idle(now model.Instant, s *service) bool {
+// withinNeighbourLoad reports whether this instance's utilisation for the service is within neighbourLoadSlack of its neighbours' mean.
+func (e *Engine) withinNeighbourLoad(now model.Instant, s *service) bool {
 	if len(s.neighbours) == 0 {
 		return true
 	}
 	sum := 0.0
 	for _, id := range s.neighbours {
-		sum += e.busyAt(now, s, id)
+		sum += e.utilisationOf(now, s, id)
 	}
-	return s.busy.read(now) <= keepSlack*sum/float64(len(s.neighbours))
+	return s.utilisation.read(now) <= neighbourLoadSlack*sum/float64(len(s.neighbours))
 }
--- a/internal/core/engine/once.go
+++ b/internal/core/engine/once.go
@@ -9,36 +9,37 @@
 	"hawthorncourse/internal/core/once"
 )
 
-// oncePacket decides on a request that is not idempotent.
+// oncePacket handles a request that is not idempotent.
 func (e *Engine) oncePacket(now model.Instant, s *service, p *model.Packet) {
 	if len(p.Binding) == 0 {
-		e.offerOnce(now, s, p, model.ReasonBindingMissing)
+		e.challengeOnce(now, s, p, model.ReasonBindingMissing)
 		return
 	}
-	b, err := e.sealer.Open(p.Flow, p.Binding)
+	b, err := e.signer.Verify(p.Flow, p.Binding)
 	switch {
-	case errors.Is(err, bind.ErrKeyAhead):
-		// The key is on its way here; the caller's next copy finds it, or an instance that has it.
+	case errors.Is(err, bind.ErrNewerKey):
+		// The key has not reached this instance yet. A retransmission will find it here or reach an instance that has it.
 		e.drop(p, model.ReasonKeyAhead)
 	case errors.Is(err, bind.ErrUnknownKey):
-		e.unknown(p, model.ReasonBindingExpired)
+		e.reportUnknown(p, model.ReasonBindingExpired)
 	case err != nil:
-		e.unknown(p, model.ReasonBindingForged)
+		e.reportUnknown(p, model.ReasonBindingForged)
 	case b.Use != bind.UseOnce:
-		e.offerOnce(now, s, p, model.ReasonBindingUsed)
+		e.challengeOnce(now, s, p, model.ReasonBindingUsed)
 	case b.Issuer == e.cfg.Self.Tag():
 		e.runOnce(now, s, p, b)
 	default:
-		e.toIssuer(now, p, b)
+		e.handToIssuer(now, p, b)
 	}
 }
 
-// offerOnce answers a first try with a binding of an owner of slots; nobody forwards it.
-func (e *Engine) offerOnce(now model.Instant, s *service, p *model.Packet, reason model.Reason) {
-	if e.placeElsewhere(now, s, p) {
+// challengeOnce answers a request without a usable binding with a new one, issued by an instance that owns slots. The request itself is
+// not forwarded.
+func (e *Engine) challengeOnce(now model.Instant, s *service, p *model.Packet, reason model.Reason) {
+	if e.handToOwner(now, s, p) {
 		return
 	}
-	if s.mine == 0 {
+	if s.ownedSlots == 0 {
 		e.refuse(p, model.ReasonNoUpstream)
 		return
 	}
@@ -46,66 +47,67 @@
 		e.refuse(p, model.ReasonQueueFull)
 		return
 	}
-	e.serial++
+	e.lastSerial++
 	e.challenge(p, reason, bind.Binding{
 		Use:    bind.UseOnce,
 		Issuer: e.cfg.Self.Tag(),
-		Serial: e.serial,
+		Serial: e.lastSerial,
 		Expiry: e.expiry(now, e.doc.Timing.BindingLife),
 	})
 }
 
-// toIssuer hands a bound request to the only instance that may run it; beyond a cut, the caller's next copy may find it.
-func (e *Engine) toIssuer(now model.Instant, p *model.Packet, b bind.Binding) {
+// handToIssuer hands a bound request to its issuer, the only instance that may run it. If the issuer may be behind a network partition, the
+// packet is dropped: a retransmission may reach the issuer.
+func (e *Engine) handToIssuer(now model.Instant, p *model.Packet, b bind.Binding) {
 	peer, known := e.issuers[b.Issuer]
 	switch {
 	case known && p.Hops < model.MaxHops:
-		e.hand(p, peer, model.ReasonIssuerElsewhere)
-	case e.severed[b.Issuer] && int64(b.Expiry) > e.wall(now):
+		e.handOff(p, peer, model.ReasonIssuerElsewhere)
+	case e.partitioned[b.Issuer] && int64(b.Expiry) > e.unixTime(now):
 		e.drop(p, model.ReasonIssuerSevered)
 	default:
-		e.unknown(p, model.ReasonIssuerGone)
+		e.reportUnknown(p, model.ReasonIssuerGone)
 	}
 }
 
-// runOnce forwards a bound request unless any copy of it was seen before.
+// runOnce forwards a bound request unless a copy of it was received before.
 func (e *Engine) runOnce(now model.Instant, s *service, p *model.Packet, b bind.Binding) {
 	key := once.Key{Serial: b.Serial, Block: p.Block}
 	if entry := e.ledger.Find(key); entry != nil {
-		e.repeatOnce(now, s, p, entry)
+		e.answerRepeat(now, s, p, entry)
 		return
 	}
-	if int64(b.Expiry) <= e.wall(now) {
-		e.unknown(p, model.ReasonBindingExpired)
+	if int64(b.Expiry) <= e.unixTime(now) {
+		e.reportUnknown(p, model.ReasonBindingExpired)
 		return
 	}
 	s.budget.Deposit()
 	x := newExchange(now, s, p)
-	x.entry = e.ledger.Open(key, p, now.Add(e.doc.Timing.BindingLife+time.Second))
-	e.start(now, x)
+	x.entry = e.ledger.Add(key, p, now.Add(e.doc.Timing.BindingLife+time.Second))
+	e.startExchange(now, x)
 }
 
-// repeatOnce gives another copy of a request the outcome of the first.
-func (e *Engine) repeatOnce(now model.Instant, s *service, p *model.Packet, entry *once.Entry) {
+// answerRepeat answers a further copy of a request with the outcome of the first; other content under the same binding is a new request.
+func (e *Engine) answerRepeat(now model.Instant, s *service, p *model.Packet, entry *once.Entry) {
 	if entry.Digest != p.Digest {
-		e.offerOnce(now, s, p, model.ReasonBindingUsed)
+		e.challengeOnce(now, s, p, model.ReasonBindingUsed)
 		return
 	}
-	entry.Waiter = p
+	entry.LatestCopy = p
 	switch entry.State {
 	case once.StateAnswered:
 		e.emit(model.Action{Verb: model.VerbDeliver, Reason: model.ReasonRepeat, Packet: p, Raw: entry.Answer})
 	case once.StateRefused:
 		e.refuse(p, model.ReasonRepeat)
 	case once.StateUnknown:
-		e.unknown(p, model.ReasonAnswerLost)
+		e.reportUnknown(p, model.ReasonAnswerLost)
 	default:
 		e.drop(p, model.ReasonRepeat)
 	}
 }
 
 func (e *Engine) challenge(p *model.Packet, reason model.Reason, b bind.Binding) {
-	raw, ok := e.sealer.Seal(p.Flow, b)
+	raw, ok := e.signer.Sign(p.Flow, b)
 	if !ok {
 		e.refuse(p, model.ReasonNoKeys)
 		return
@@ -114,5 +116,5 @@
 }
 
 func (e *Engine) expiry(now model.Instant, life time.Duration) uint32 {
-	return uint32(e.wall(now) + int64(life/time.Second))
+	return uint32(e.unixTime(now) + int64(life/time.Second))
 }
--- a/internal/core/engine/packet.go
+++ b/internal/core/engine/packet.go
@@ -2,21 +2,21 @@
 
 import "hawthorncourse/internal/core/model"
 
-// Packet decides on one packet of a caller; the actions are valid until the next call.
+// Packet handles one packet from a caller. The returned actions are valid until the next call.
 func (e *Engine) Packet(now model.Instant, p *model.Packet) []model.Action {
-	e.begin(now)
+	e.beginStep(now)
 	if e.doc == nil {
-		e.turnAway(p, model.ReasonNoDocument)
+		e.rejectUnserved(p, model.ReasonNoDocument)
 		return e.actions
 	}
 	s := e.services[p.Flow.Service]
 	if s == nil {
-		e.turnAway(p, model.ReasonNoService)
+		e.rejectUnserved(p, model.ReasonNoService)
 		return e.actions
 	}
 	switch p.Class {
 	case model.ClassIdempotent:
-		e.anyPacket(now, s, p)
+		e.idempotentPacket(now, s, p)
 	case model.ClassSticky:
 		e.stickyPacket(now, s, p)
 	case model.ClassOnce:
@@ -31,8 +31,9 @@
 	return e.actions
 }
 
-// turnAway refuses a packet that this instance can do nothing with; another copy of a bound request may have been run by its issuer.
-func (e *Engine) turnAway(p *model.Packet, reason model.Reason) {
+// rejectUnserved refuses a packet that this instance cannot serve because it does not know the service or has no document. A bound request is
+// dropped instead, since its issuer may have run another copy of it.
+func (e *Engine) rejectUnserved(p *model.Packet, reason model.Reason) {
 	if len(p.Binding) > 0 {
 		e.drop(p, reason)
 		return
@@ -40,8 +41,8 @@
 	e.refuse(p, reason)
 }
 
-// placeElsewhere hands new work to an owner of slots; it reports false when this instance should keep it.
-func (e *Engine) placeElsewhere(now model.Instant, s *service, p *model.Packet) bool {
+// handToOwner hands a new request to an owner of slots; it reports false if this instance should keep the request.
+func (e *Engine) handToOwner(now model.Instant, s *service, p *model.Packet) bool {
 	if p.Hops >= model.MaxHops {
 		return false
 	}
@@ -49,37 +50,38 @@
 	if peer == "" || peer == e.cfg.Self.ID {
 		return false
 	}
-	e.hand(p, peer, reason)
+	e.handOff(p, peer, reason)
 	return true
 }
 
-// pickPeer returns who should have new work: an owner of this domain, or of another if none here can take it now.
+// pickPeer returns the instance that should get a new request: an owner of slots in this failure domain, or in another one if no slot of
+// this domain is usable now or its queue is long.
 func (e *Engine) pickPeer(now model.Instant, s *service) (model.InstanceID, model.Reason) {
-	if !e.crowded(s) {
-		if peer := e.pickOwner(now, s.near, true); peer != "" {
+	if !e.queueHalfFull(s) {
+		if peer := e.pickOwner(now, s.localSlots, true); peer != "" {
 			return peer, model.ReasonBorrow
 		}
 	}
-	if peer := e.pickOwner(now, s.far, true); peer != "" {
+	if peer := e.pickOwner(now, s.remoteSlots, true); peer != "" {
 		return peer, model.ReasonSpill
 	}
-	if peer := e.pickOwner(now, s.near, false); peer != "" {
+	if peer := e.pickOwner(now, s.localSlots, false); peer != "" {
 		return peer, model.ReasonBorrow
 	}
-	return e.pickOwner(now, s.far, false), model.ReasonSpill
+	return e.pickOwner(now, s.remoteSlots, false), model.ReasonSpill
 }
 
-// crowded reports whether the domain's queue is long enough for other domains to help.
-func (e *Engine) crowded(s *service) bool {
-	return len(s.far) > 0 && s.waiting.Len() >= max(s.cfg.QueueLimit/2, 1)
+// queueHalfFull reports whether the service's queue is half full and other failure domains have slots, so that requests should go there.
+func (e *Engine) queueHalfFull(s *service) bool {
+	return len(s.remoteSlots) > 0 && s.waiting.Len() >= max(s.cfg.QueueLimit/2, 1)
 }
 
-// replyPacket returns a caller's acknowledgement to the upstream that waits for it; if it is lost, the message comes again.
+// replyPacket forwards a caller's acknowledgement to the upstream that expects it. If it is lost, the upstream retransmits the message.
 func (e *Engine) replyPacket(p *model.Packet) {
 	key := replyKey{flow: p.Flow, messageID: p.MessageID}
-	if up := e.replies.Peek(key); up != nil {
+	if up := e.pendingReplies.Peek(key); up != nil {
 		e.forwardReply(p, *up)
-		e.replies.Delete(key)
+		e.pendingReplies.Delete(key)
 		return
 	}
 	home := e.home(p.Flow)
@@ -87,7 +89,7 @@
 		e.drop(p, model.ReasonReplyUnknown)
 		return
 	}
-	e.hand(p, home, model.ReasonHome)
+	e.handOff(p, home, model.ReasonHome)
 }
 
 func (e *Engine) forwardReply(p *model.Packet, up *upstream) {
--- a/internal/core/engine/policy.go
+++ b/internal/core/engine/policy.go
@@ -6,18 +6,18 @@
 	"hawthorncourse/internal/core/choose"
 )
 
-// DefaultPolicy is the name of the policy that is used unless another is asked for.
+// DefaultPolicy is the name of the policy that is used unless another is configured.
 const DefaultPolicy = "utilisation"
 
-// policies holds the ways to pick one of several free upstreams, by name; the last two are baselines.
+// policies holds the constructors of the selection policies, by name. "random" and "roundRobin" serve as baselines for comparison.
 var policies = map[string]func() choose.Policy[Candidate]{
 	"utilisation": func() choose.Policy[Candidate] { return choose.Least[Candidate]{Score: Utilisation} },
-	"completion":  func() choose.Policy[Candidate] { return choose.TwoChoices[Candidate]{Score: Completion} },
+	"completion":  func() choose.Policy[Candidate] { return choose.TwoChoices[Candidate]{Score: CompletionTime} },
 	"random":      func() choose.Policy[Candidate] { return choose.Random[Candidate]{} },
 	"roundRobin":  func() choose.Policy[Candidate] { return &roundRobin{} },
 }
 
-// PolicyByName returns the named policy; ok is false for an unknown name.
+// PolicyByName returns a new instance of the named policy; ok is false if the name is unknown.
 func PolicyByName(name string) (policy choose.Policy[Candidate], ok bool) {
 	build, ok := policies[name]
 	if !ok {
@@ -26,7 +26,7 @@
 	return build(), true
 }
 
-// roundRobin takes free upstreams in turn, by their names.
+// roundRobin cycles through the candidates in the order of their IDs.
 type roundRobin struct {
 	last string
 }
@@ -49,7 +49,7 @@
 	return next
 }
 
-// ID returns the upstream's name.
+// ID returns the ID of the upstream.
 func (c Candidate) ID() string {
 	return string(c.up.cfg.ID)
 }
--- a/internal/core/engine/service.go
+++ b/internal/core/engine/service.go
@@ -11,38 +11,39 @@
 	"hawthorncourse/internal/core/units"
 )
 
-// slot is one unit of an upstream's capacity.
+// slot is one slot of an upstream, its capacity for one concurrent request.
 type slot struct {
 	up *upstream
-	// n is below the upstream's number of slots.
-	n int
+	// index is below the upstream's number of slots.
+	index int
 }
 
 // service is the state of one service at this instance.
 type service struct {
 	cfg       *model.Service
 	upstreams []*upstream
-	tags      map[model.UpstreamTag]*upstream
-	// near and far hold every slot with an owner, in this instance's domain and elsewhere.
-	near, far []slot
-	// neighbours holds the other owners of slots in this instance's domain, each once.
-	neighbours []model.InstanceID
-	busy       gauge
-	// mine is the number of slots that this instance owns.
-	mine   int
-	budget choose.RetryBudget
-	// waiting holds requests that wait for a slot.
+	// tags maps the upstream tags in bindings to upstreams.
+	tags map[model.UpstreamTag]*upstream
+	// localSlots and remoteSlots hold every owned slot of upstreams in this instance's failure domain and in others.
+	localSlots, remoteSlots []slot
+	// neighbours holds the other instances that own slots of upstreams in this instance's failure domain, each once.
+	neighbours  []model.InstanceID
+	utilisation gauge
+	// ownedSlots is the number of slots that this instance owns.
+	ownedSlots int
+	budget     choose.RetryBudget
+	// waiting holds the requests that are queued for a slot.
 	waiting queue.Queue[*exchange]
-	// checks and deadlines hold forwarded requests by the time of their next check.
-	checks    queue.Queue[*exchange]
-	deadlines queue.Queue[*exchange]
+	// retryChecks and deadlines hold the forwarded requests, ordered by when they are due for a retry and by their deadline.
+	retryChecks queue.Queue[*exchange]
+	deadlines   queue.Queue[*exchange]
 }
 
-// indexDocument rebuilds the tables that follow from the document and keeps the state of what stays.
+// indexDocument rebuilds the tables derived from the document and keeps the state of services and upstreams that remain.
 func (e *Engine) indexDocument(now model.Instant) {
 	old := e.services
 	oldUpstreams := e.upstreams
-	clear(e.senders)
+	clear(e.upstreamsByAddr)
 	e.services = make(map[netip.AddrPort]*service, len(e.doc.Services))
 	e.upstreams = make(map[model.UpstreamID]*upstream, len(oldUpstreams))
 	for i := range e.doc.Services {
@@ -77,99 +78,102 @@
 		s.upstreams = append(s.upstreams, up)
 		s.tags[up.cfg.ID.Tag()] = up
 		e.upstreams[up.cfg.ID] = up
-		e.senders[up.cfg.Address] = up
+		e.upstreamsByAddr[up.cfg.Address] = up
 	}
 }
 
-// closeService refuses what waits for a service that is gone; forwarded requests run out by their deadlines.
+// closeService refuses the queued requests of a removed service; its forwarded requests end at their deadlines.
 func (e *Engine) closeService(now model.Instant, s *service) {
 	for s.waiting.Len() > 0 {
-		e.giveUp(now, s.waiting.Pop(), model.ReasonNoService)
+		e.refuseExchange(now, s.waiting.Pop(), model.ReasonNoService)
 	}
 }
 
 func (e *Engine) indexOwners(s *service) {
-	s.near, s.far, s.neighbours, s.mine = s.near[:0], s.far[:0], s.neighbours[:0], 0
+	s.localSlots, s.remoteSlots, s.neighbours, s.ownedSlots = s.localSlots[:0], s.remoteSlots[:0], s.neighbours[:0], 0
 	for _, up := range s.upstreams {
-		e.succeed(up, e.table.Allocation(up.cfg.ID))
-		if up.closed() {
+		e.setAllocation(up, e.ownership.Allocation(up.cfg.ID))
+		if up.noNewWork() {
 			continue
 		}
-		s.mine += up.share.Owned()
-		for n, id := range up.share.Owners {
-			e.indexOwner(s, slot{up: up, n: n}, id)
+		s.ownedSlots += up.allocation.Owned()
+		for n, id := range up.allocation.Owners {
+			e.indexSlot(s, slot{up: up, index: n}, id)
 		}
 	}
 }
 
-// succeed replaces the division of an upstream's slots. Whoever was its prober knows when it started, and tells the next.
-func (e *Engine) succeed(up *upstream, next *units.Allocation) {
+// setAllocation replaces the slot ownership of an upstream. If this instance ceases to be the primary and knows when the upstream started, it
+// passes this on to the new owners.
+func (e *Engine) setAllocation(up *upstream, next *units.Allocation) {
 	self := e.cfg.Self.ID
-	if up.share.Primary() == self && (next.Primary() != self || e.stopAt != 0) && !up.guessed {
-		up.owed, e.urgent = true, true
+	if up.allocation.Primary() == self && (next.Primary() != self || e.stopStartedAt != 0) && !up.bootTimeInferred {
+		up.updateDue, e.updateUrgent = true, true
 	}
-	up.share = next
+	up.allocation = next
 }
 
-// indexOwner takes note of who owns one slot; a stopping instance leaves out its own.
-func (e *Engine) indexOwner(s *service, sl slot, id model.InstanceID) {
+// indexSlot adds one slot and its owner to the service's tables; a stopping instance omits its own slots.
+func (e *Engine) indexSlot(s *service, sl slot, id model.InstanceID) {
 	self := id == e.cfg.Self.ID
 	switch {
-	case self && e.stopAt != 0:
+	case self && e.stopStartedAt != 0:
 	case sl.up.cfg.Domain != e.cfg.Self.Domain:
-		s.far = append(s.far, sl)
+		s.remoteSlots = append(s.remoteSlots, sl)
 	default:
-		s.near = append(s.near, sl)
+		s.localSlots = append(s.localSlots, sl)
 		if !self && !slices.Contains(s.neighbours, id) {
 			s.neighbours = append(s.neighbours, id)
 		}
 	}
 }
 
-// pickOwner returns the less busy of two random owners, which may be this instance; open asks for slots that are usable now.
-func (e *Engine) pickOwner(now model.Instant, slots []slot, open bool) model.InstanceID {
-	a, b := e.drawOwner(now, slots, open), e.drawOwner(now, slots, open)
+// pickOwner returns the less utilised of two random owners of slots, possibly this instance. usableNow restricts it to slots past their
+// hold-off.
+func (e *Engine) pickOwner(now model.Instant, slots []slot, usableNow bool) model.InstanceID {
+	a, b := e.randomOwner(now, slots, usableNow), e.randomOwner(now, slots, usableNow)
 	if a == "" || b == "" || a == b {
 		return max(a, b)
 	}
-	if e.busyAt(now, slots[0].up.service, b) < e.busyAt(now, slots[0].up.service, a) {
+	if e.utilisationOf(now, slots[0].up.service, b) < e.utilisationOf(now, slots[0].up.service, a) {
 		return b
 	}
 	return a
 }
 
-// drawOwner returns the owner of a random slot that takes work, or none; open asks that its hold-off is over, too.
-func (e *Engine) drawOwner(now model.Instant, slots []slot, open bool) model.InstanceID {
+// randomOwner returns the owner of a random slot that accepts requests, or "" if none is found within ownerDrawLimit tries. usableNow also
+// requires that the hold-off of the slot is over; for slots of this instance that is always required.
+func (e *Engine) randomOwner(now model.Instant, slots []slot, usableNow bool) model.InstanceID {
 	lease := e.doc.Timing.WarmLease
-	for range min(len(slots), drawLimit) {
+	for range min(len(slots), ownerDrawLimit) {
 		sl := slots[e.rng.IntN(len(slots))]
 		if sl.up.cold(now, lease) {
-			if sl.n >= sl.up.cfg.ColdSlots {
+			if sl.index >= sl.up.cfg.ColdSlots {
 				continue
 			}
-			sl.n = 0
+			sl.index = 0
 		}
-		owner := sl.up.share.Owners[sl.n]
-		mustBeOpen := open || owner == e.cfg.Self.ID
-		if now >= sl.up.pauseUntil && (!mustBeOpen || sl.up.share.SlotUsable(now, sl.n)) {
+		owner := sl.up.allocation.Owners[sl.index]
+		mustBeUsable := usableNow || owner == e.cfg.Self.ID
+		if now >= sl.up.pauseUntil && (!mustBeUsable || sl.up.allocation.SlotUsable(now, sl.index)) {
 			return owner
 		}
 	}
 	return ""
 }
 
-// drawLimit bounds the tries to find a usable slot.
-const drawLimit = 16
+// ownerDrawLimit bounds the attempts to find a usable slot.
+const ownerDrawLimit = 16
 
-// silentAfter is the share of a request's time after which it is tried elsewhere.
-const silentAfter = 0.5
+// firstAnswerFraction is the fraction of the request timeout after which an unanswered request is retried at another upstream.
+const firstAnswerFraction = 0.5
 
-// silence is how long a request waits for its first answer, and at most for a slot.
-func (s *service) silence() time.Duration {
-	return time.Duration(silentAfter * float64(s.cfg.RequestTimeout))
+// firstAnswerTimeout is how long a forwarded request waits for an answer before it is retried, and how long a request is queued at most.
+func (s *service) firstAnswerTimeout() time.Duration {
+	return time.Duration(firstAnswerFraction * float64(s.cfg.RequestTimeout))
 }
 
-// running returns the number of the service's requests that are forwarded or wait.
+// running returns the number of the service's requests that are forwarded or queued.
 func (s *service) running() int {
 	n := s.waiting.Len()
 	for _, up := range s.upstreams {
--- a/internal/core/engine/tables.go
+++ b/internal/core/engine/tables.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	// replyLife covers every retransmission of one confirmable message.
-	replyLife  = 250 * time.Second
+	// replyLife is longer than all retransmissions of one confirmable message take.
+	replyLife = 250 * time.Second
+	// replyLimit is the maximum number of messages whose acknowledgement is tracked.
 	replyLimit = 1 << 18
-	// streamLives is how many refresh intervals a stream is remembered.
-	streamLives = 2
+	// streamLifeIntervals is the number of refresh intervals for which an unused stream is kept.
+	streamLifeIntervals = 2
 )
 
-// stream is one flow that this instance relayed lately.
+// stream is one stream that this instance relayed recently.
 type stream struct {
 	up *upstream
-	// proof is the verified binding; the same bytes need no second verification.
-	proof [bind.Size]byte
+	// binding is the verified binding; a packet with the same bytes needs no second verification.
+	binding [bind.Size]byte
 }
 
 type streamTable = *recent.Table[model.ExchangeKey, stream]
@@ -29,7 +30,7 @@
 	return recent.New[model.ExchangeKey, stream](limit)
 }
 
-// replyKey names the message of an upstream that a caller acknowledges.
+// replyKey identifies a confirmable message of an upstream that the caller has yet to acknowledge.
 type replyKey struct {
 	flow      model.FlowKey
 	messageID uint16
--- a/internal/core/engine/tick.go
+++ b/internal/core/engine/tick.go
@@ -8,117 +8,119 @@
 	"hawthorncourse/internal/core/queue"
 )
 
-// Tick lets time pass: requests run out, slots become usable, tables lapse.
+// Tick advances the engine's time: it retries and times out requests, dispatches queued ones and expires table entries. The returned
+// actions are valid until the next call.
 func (e *Engine) Tick(now model.Instant) []model.Action {
-	e.begin(now)
+	e.beginStep(now)
 	if e.doc == nil {
 		return e.actions
 	}
-	e.leave(now)
-	e.markLoads(now)
+	e.releaseOwnership(now)
+	e.updateUtilisation(now)
 	for _, s := range e.services {
-		e.expireChecks(now, s)
+		e.expireRetryChecks(now, s)
 		e.expireDeadlines(now, s)
-		e.drain(now, s)
-		e.expireParked(now, s)
+		e.dispatchQueue(now, s)
+		e.probeParked(now, s)
 	}
 	e.ledger.Expire(now)
 	e.expireTables(now)
 	return e.actions
 }
 
-// leave gives up the units of a stopping instance when its peers have noticed.
-func (e *Engine) leave(now model.Instant) {
-	if e.stopAt == 0 || now.Sub(e.stopAt) <= e.doc.Timing.Detection {
+// releaseOwnership gives up the slots of a stopping instance once its peers have noticed the stop.
+func (e *Engine) releaseOwnership(now model.Instant) {
+	if e.stopStartedAt == 0 || now.Sub(e.stopStartedAt) <= e.doc.Timing.Detection {
 		return
 	}
-	if e.table.OwnsAny() {
-		e.own(now)
+	if e.ownership.OwnsAny() {
+		e.updateOwnership(now)
 	}
 }
 
-// expireChecks tries requests elsewhere that have waited for half of their time.
-func (e *Engine) expireChecks(now model.Instant, s *service) {
-	for s.checks.Len() > 0 && now.Sub(s.checks.Peek().sent) >= s.silence() {
-		x := s.checks.Pop()
-		if x.done || !x.holding || now.Sub(x.sent) < s.silence() {
+// expireRetryChecks backs off from upstreams that left a request unanswered for firstAnswerTimeout and retries idempotent requests at others.
+func (e *Engine) expireRetryChecks(now model.Instant, s *service) {
+	for s.retryChecks.Len() > 0 && now.Sub(s.retryChecks.Peek().sentAt) >= s.firstAnswerTimeout() {
+		x := s.retryChecks.Pop()
+		if x.done || !x.holdsSlot || now.Sub(x.sentAt) < s.firstAnswerTimeout() {
 			continue
 		}
-		x.up.heard, x.up.suspect = 0, true
-		x.up.pause(now)
-		e.note(model.ReasonUpstreamSilent)
+		x.up.confirmedAt, x.up.suspect = 0, true
+		x.up.backOff(now)
+		e.countReason(model.ReasonUpstreamSilent)
 		if x.entry == nil {
-			e.retrySilent(now, x)
+			e.retryUnanswered(now, x)
 		}
 	}
 }
 
-// retrySilent sends an idempotent request to a second upstream; the first keeps its slot until the deadline.
-func (e *Engine) retrySilent(now model.Instant, x *exchange) {
+// retryUnanswered sends an idempotent request to a second upstream; the slot at the first one stays in use until the deadline.
+func (e *Engine) retryUnanswered(now model.Instant, x *exchange) {
 	first := x.up
 	if !x.service.budget.TryWithdraw() {
-		e.note(model.ReasonRetryBudget)
+		e.countReason(model.ReasonRetryBudget)
 		return
 	}
 	if !e.place(now, x) {
 		return
 	}
-	held := &exchange{packet: x.packet, service: x.service, up: first, holding: true, done: true, deadline: x.deadline}
+	held := &exchange{packet: x.packet, service: x.service, up: first, holdsSlot: true, done: true, deadline: x.deadline}
 	x.service.deadlines.Push(held)
 }
 
-// expireDeadlines ends requests whose time is over; their slots are free again only now.
+// expireDeadlines ends the requests whose deadline has passed. Only then are the slots of unanswered requests freed, since the upstream
+// may have been running them.
 func (e *Engine) expireDeadlines(now model.Instant, s *service) {
 	for s.deadlines.Len() > 0 && s.deadlines.Peek().deadline <= now {
 		x := s.deadlines.Pop()
 		if !x.done {
-			e.lost(now, x)
+			e.reportLost(now, x)
 		}
-		e.release(now, x)
-		e.keepLate(now, x)
+		e.releaseSlot(now, x)
+		e.keepFinished(now, x)
 	}
 }
 
-// lost tells the caller that the outcome of a forwarded request is unknown.
-func (e *Engine) lost(now model.Instant, x *exchange) {
+// reportLost answers the caller that the outcome of its forwarded request is unknown.
+func (e *Engine) reportLost(now model.Instant, x *exchange) {
 	if x.up == nil {
 		return
 	}
 	e.finish(now, x)
 	if x.entry != nil {
 		x.entry.State = once.StateUnknown
-		e.unknown(x.entry.Waiter, model.ReasonAnswerLost)
+		e.reportUnknown(x.entry.LatestCopy, model.ReasonAnswerLost)
 		return
 	}
-	e.unknown(x.packet, model.ReasonAnswerLost)
+	e.reportUnknown(x.packet, model.ReasonAnswerLost)
 }
 
-// keepLate remembers an ended exchange for another request time, so that late answers find no younger request.
-func (e *Engine) keepLate(now model.Instant, x *exchange) {
-	if e.open[x.packet.Exchange()] != x {
+// keepFinished keeps an ended exchange for another request timeout, so that a late answer is not attributed to a newer request.
+func (e *Engine) keepFinished(now model.Instant, x *exchange) {
+	if e.exchanges[x.packet.Exchange()] != x {
 		return
 	}
-	e.late.Push(lateExchange{exchange: x, until: now.Add(x.service.cfg.RequestTimeout)})
+	e.finished.Push(finishedExchange{exchange: x, until: now.Add(x.service.cfg.RequestTimeout)})
 }
 
-type lateExchange struct {
+type finishedExchange struct {
 	exchange *exchange
 	until    model.Instant
 }
 
-type lateQueue = queue.Queue[lateExchange]
+type finishedQueue = queue.Queue[finishedExchange]
 
 func (e *Engine) expireTables(now model.Instant) {
-	for e.late.Len() > 0 && e.late.Peek().until <= now {
-		x := e.late.Pop().exchange
-		if key := x.packet.Exchange(); e.open[key] == x {
-			delete(e.open, key)
+	for e.finished.Len() > 0 && e.finished.Peek().until <= now {
+		x := e.finished.Pop().exchange
+		if key := x.packet.Exchange(); e.exchanges[key] == x {
+			delete(e.exchanges, key)
 		}
 	}
-	e.streams.Expire(now, streamLives*e.refreshInterval(), func(_ model.ExchangeKey, st *stream) {
+	e.streams.Expire(now, streamLifeIntervals*e.refreshInterval(), func(_ model.ExchangeKey, st *stream) {
 		st.up.streams--
 	})
-	e.replies.Expire(now, replyLife, func(replyKey, **upstream) {})
+	e.pendingReplies.Expire(now, replyLife, func(replyKey, **upstream) {})
 	e.expireFlows(now)
 }
 
@@ -130,16 +132,16 @@
 	return longest
 }
 
-// expireParked lets one packet after another probe an upstream that keeps silent.
-func (e *Engine) expireParked(now model.Instant, s *service) {
+// probeParked releases one parked packet per lease as a probe to an upstream that does not answer.
+func (e *Engine) probeParked(now model.Instant, s *service) {
 	for _, up := range s.upstreams {
-		if up.parked.Len() > 0 && now.Sub(up.probed) >= e.doc.Timing.WarmLease {
-			e.resume(now, s, up.parked.Pop())
+		if up.parked.Len() > 0 && now.Sub(up.probedAt) >= e.doc.Timing.WarmLease {
+			e.reprocess(now, s, up.parked.Pop())
 		}
 	}
 }
 
-// running returns the number of requests that are forwarded or wait.
+// running returns the number of requests that are forwarded or queued.
 func (e *Engine) running() int {
 	n := 0
 	for _, s := range e.services {
--- a/internal/core/engine/upstream.go
+++ b/internal/core/engine/upstream.go
@@ -11,163 +11,169 @@
 )
 
 const (
-	parkLimit    = 256
-	backoffFirst = 250 * time.Millisecond
-	backoffLimit = 2 * time.Second
-	shedPause    = 250 * time.Millisecond
-	retiredLimit = 8
+	// parkLimit is the maximum number of packets parked for one upstream.
+	parkLimit      = 256
+	backoffInitial = 250 * time.Millisecond
+	backoffMax     = 2 * time.Second
+	// shedPause is how long an upstream gets no new requests after it shed one.
+	shedPause = 250 * time.Millisecond
+	// previousBootLimit is the maximum number of earlier boots kept for one upstream.
+	previousBootLimit = 8
 )
 
 // upstream is the state of one upstream at this instance.
 type upstream struct {
-	cfg     *model.Upstream
-	service *service
-	share   *units.Allocation
-	// out is set while operators have taken its domain out.
+	cfg        *model.Upstream
+	service    *service
+	allocation *units.Allocation
+	// out is set while operators have taken its failure domain out of service.
 	out bool
-	// boot is the start that was heard last; zero for none.
+	// boot is the last known boot; zero for none.
 	boot model.BootID
-	// retired holds earlier starts, whose late answers prove nothing.
-	retired []model.BootID
-	// bootSeen is when any instance first heard of the boot.
-	bootSeen model.Instant
-	// restarted is when a change of the boot was last noticed; zero for never.
-	restarted model.Instant
-	// heard is when an answer last proved the boot; zero for never.
-	heard model.Instant
-	// suspect is set when it kept silent, so that it may have restarted.
+	// previousBoots holds earlier boots; late answers from them confirm nothing.
+	previousBoots []model.BootID
+	// bootObservedAt is when any instance first observed the boot.
+	bootObservedAt model.Instant
+	// restartedAt is when a change of the boot was last observed; zero for never.
+	restartedAt model.Instant
+	// confirmedAt is when an answer last confirmed the boot; zero for never.
+	confirmedAt model.Instant
+	// suspect is set when it did not answer, so that it may have restarted.
 	suspect bool
-	// coldUntil is when the cold start is over.
+	// coldUntil is when the cold start ends.
 	coldUntil model.Instant
-	// guessed is set while the start is only known from the upstream's own answers: it may lie long before the first of them.
-	guessed bool
-	// owed is set while the owners of its slots have yet to hear from this instance when it started.
-	owed bool
-	// pauseUntil is when the upstream is tried again after it shed load or kept silent.
+	// bootTimeInferred is set while the boot is only known from the upstream's answers, so that it may have started long before the first.
+	bootTimeInferred bool
+	// updateDue is set while this instance has yet to report the boot time to the owners of its slots.
+	updateDue bool
+	// pauseUntil is when the upstream gets new requests again after it shed load or did not answer.
 	pauseUntil model.Instant
-	backoff    time.Duration
-	// draining and down are what its health endpoint says; they only lower what it gets.
+	// backoff is the last pause for a missing answer; zero after an answer.
+	backoff time.Duration
+	// draining and down are the states from its health endpoint; they can only reduce its load.
 	draining, down bool
-	// reported is the number of open streams by its load report.
-	reported int
-	// running is the number of requests forwarded from here and not answered.
+	// reportedStreams is the number of open streams from its load report.
+	reportedStreams int
+	// running is the number of slots that requests forwarded by this instance hold.
 	running int
-	// probed is when a packet was last let through to prove the boot.
-	probed model.Instant
-	// parked holds packets of streams that wait for that proof.
-	parked queue.Queue[*model.Packet]
-	speed  choose.LatencyAverage
-	busy   gauge
-	// opened counts the streams placed here by interval.
-	opened window
-	// coldOpened counts the streams placed during this cold start.
-	coldOpened int
-	// streams is the number of streams that this instance relayed lately.
+	// probedAt is when a packet was last forwarded to confirm the boot; zero for never.
+	probedAt model.Instant
+	// parked holds the packets of streams and flows that wait for the confirmation.
+	parked      queue.Queue[*model.Packet]
+	serviceTime choose.LatencyAverage
+	utilisation gauge
+	// openedStreams counts the streams and flows that this instance recently assigned to it.
+	openedStreams window
+	// coldStreams counts the streams and flows assigned to it during the current cold start.
+	coldStreams int
+	// streams is the number of its streams and flows that this instance tracks.
 	streams int
-	told    model.Instant
+	// updateSentAt is when its last observation was sent to peers; zero for never.
+	updateSentAt model.Instant
 }
 
-// Candidate is one free upstream, as placement policies see it.
+// Candidate is one upstream with a free slot, as seen by selection policies.
 type Candidate struct {
 	up *upstream
-	// Free is the number of its slots that may be used at once; at least one.
-	Free int
-	// Running is the number of requests that it runs for this instance.
+	// FreeSlots is the number of its slots that this instance may use now; at least one.
+	FreeSlots int
+	// Running is the number of requests of this instance that it runs.
 	Running int
-	// Mean is its expected service time.
-	Mean time.Duration
-	// Busy is the share of its owned slots that was lately in use.
-	Busy float64
+	// ServiceTime is the expected time to serve one request.
+	ServiceTime time.Duration
+	// Utilisation is the recent mean fraction of this instance's slots in use.
+	Utilisation float64
 }
 
-// Completion scores a candidate by the expected completion of one more request.
-func Completion(c Candidate) float64 {
-	return float64(c.Mean) * float64(c.Running+1) / float64(c.Running+c.Free)
+// CompletionTime scores a candidate by the expected time to complete one more request, in nanoseconds.
+func CompletionTime(c Candidate) float64 {
+	return float64(c.ServiceTime) * float64(c.Running+1) / float64(c.Running+c.FreeSlots)
 }
 
-// Utilisation scores a candidate by how busy its slots were lately.
+// Utilisation scores a candidate by the recent utilisation of its slots.
 func Utilisation(c Candidate) float64 {
-	return c.Busy
+	return c.Utilisation
 }
 
-// closed reports whether the upstream takes no new work at all.
-func (u *upstream) closed() bool {
+// noNewWork reports whether the upstream accepts no new requests and streams at all.
+func (u *upstream) noNewWork() bool {
 	return u.out || u.cfg.Leaving || u.draining
 }
 
-// unsure reports whether the upstream may have restarted unnoticed.
-func (u *upstream) unsure(now model.Instant, lease time.Duration) bool {
-	return u.heard == 0 || now.Sub(u.heard) > lease
+// unconfirmed reports whether no answer within the lease confirms the boot, so that the upstream may have restarted unnoticed.
+func (u *upstream) unconfirmed(now model.Instant, lease time.Duration) bool {
+	return u.confirmedAt == 0 || now.Sub(u.confirmedAt) > lease
 }
 
-// cold reports whether only the cold allowance may be used.
+// cold reports whether only the limits of a cold start may be used, because of a cold start or because the boot is unconfirmed.
 func (u *upstream) cold(now model.Instant, lease time.Duration) bool {
-	return now < u.coldUntil || u.unsure(now, lease)
+	return now < u.coldUntil || u.unconfirmed(now, lease)
 }
 
-// limit returns how many requests this instance may have running there.
-func (u *upstream) limit(now model.Instant, lease time.Duration) int {
-	if u.closed() || u.share == nil || now < u.pauseUntil {
+// requestLimit returns how many requests this instance may run at the upstream concurrently.
+func (u *upstream) requestLimit(now model.Instant, lease time.Duration) int {
+	if u.noNewWork() || u.allocation == nil || now < u.pauseUntil {
 		return 0
 	}
-	if u.down && u.unsure(now, lease) {
+	if u.down && u.unconfirmed(now, lease) {
 		return 0
 	}
 	if !u.cold(now, lease) {
-		return u.share.Usable(now)
+		return u.allocation.Usable(now)
 	}
-	if u.share.IsPrimary(now) {
+	if u.allocation.IsPrimary(now) {
 		return u.cfg.ColdSlots
 	}
 	return 0
 }
 
-// room returns how many more streams this instance may place there.
-func (u *upstream) room(now model.Instant, lease time.Duration, instances int) int {
-	if u.limit(now, lease) == 0 {
+// streamRoom returns how many more streams this instance may assign to the upstream. instances is the number of instances that use it.
+func (u *upstream) streamRoom(now model.Instant, lease time.Duration, instances int) int {
+	if u.requestLimit(now, lease) == 0 {
 		return 0
 	}
 	if u.cold(now, lease) {
-		return u.cfg.ColdConnections - u.coldOpened
+		return u.cfg.ColdConnections - u.coldStreams
 	}
-	open := max(u.reported, u.streams*instances)
-	share := float64(u.share.Usable(now)) / float64(u.cfg.Slots)
-	return int(share*float64(u.cfg.Connections-open)) - u.opened.sum(now, u.service.cfg.RefreshInterval)
+	open := max(u.reportedStreams, u.streams*instances)
+	fraction := float64(u.allocation.Usable(now)) / float64(u.cfg.Slots)
+	return int(fraction*float64(u.cfg.Connections-open)) - u.openedStreams.sum(now, u.service.cfg.RefreshInterval)
 }
 
-// pause keeps new work away for a time that grows with each call until the upstream answers.
-func (u *upstream) pause(now model.Instant) {
-	u.backoff = min(max(u.backoff*2, backoffFirst), backoffLimit)
+// backOff pauses new requests; the pause doubles with each call up to backoffMax until the upstream answers.
+func (u *upstream) backOff(now model.Instant) {
+	u.backoff = min(max(u.backoff*2, backoffInitial), backoffMax)
 	u.pauseUntil = now.Add(u.backoff)
 }
 
-// hear takes an answer as proof that the upstream runs as boot; it reports a restart.
-func (u *upstream) hear(now model.Instant, boot model.BootID) (restarted bool) {
-	if boot != 0 && slices.Contains(u.retired, boot) {
+// confirm takes an answer as proof that the upstream runs as boot, which is zero for an upstream that does not report it. It reports
+// whether the answer reveals a restart.
+func (u *upstream) confirm(now model.Instant, boot model.BootID) (restarted bool) {
+	if boot != 0 && slices.Contains(u.previousBoots, boot) {
 		return false
 	}
 	if boot == 0 && u.suspect {
-		u.restart(now, 0)
+		u.recordBoot(now, 0)
 	}
 	if boot == 0 || boot == u.boot {
-		u.heard, u.backoff, u.suspect = now, 0, false
+		u.confirmedAt, u.backoff, u.suspect = now, 0, false
 		return false
 	}
 	restarted = u.boot != 0
-	u.restart(now, boot)
-	u.guessed = !restarted
-	u.heard, u.backoff, u.suspect = now, 0, false
+	u.recordBoot(now, boot)
+	u.bootTimeInferred = !restarted
+	u.confirmedAt, u.backoff, u.suspect = now, 0, false
 	return restarted
 }
 
-// restart takes note of a new start; boot is zero for an upstream that does not tell.
-func (u *upstream) restart(now model.Instant, boot model.BootID) {
+// recordBoot records a new boot and starts its cold start; boot is zero for an upstream that does not report it.
+func (u *upstream) recordBoot(now model.Instant, boot model.BootID) {
 	if u.boot != 0 {
-		u.restarted = now
-		u.retired = append(u.retired, u.boot)
-		u.retired = u.retired[max(0, len(u.retired)-retiredLimit):]
+		u.restartedAt = now
+		u.previousBoots = append(u.previousBoots, u.boot)
+		u.previousBoots = u.previousBoots[max(0, len(u.previousBoots)-previousBootLimit):]
 	}
-	u.boot, u.bootSeen, u.guessed = boot, now, false
+	u.boot, u.bootObservedAt, u.bootTimeInferred = boot, now, false
 	u.coldUntil = now.Add(u.cfg.ColdFor)
-	u.coldOpened = 0
+	u.coldStreams = 0
 }
--- a/internal/core/engine/view.go
+++ b/internal/core/engine/view.go
@@ -7,7 +7,7 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// View returns what this instance believes of each upstream, by name.
+// View returns this instance's view of each upstream, ordered by ID.
 func (e *Engine) View(now model.Instant) []model.UpstreamView {
 	views := make([]model.UpstreamView, 0, len(e.upstreams))
 	for _, up := range e.upstreams {
@@ -16,13 +16,13 @@
 			ID:              up.cfg.ID,
 			Service:         up.service.cfg.ID,
 			Domain:          up.cfg.Domain,
-			Owned:           up.share.Owned(),
-			Limit:           up.limit(now, lease),
+			Owned:           up.allocation.Owned(),
+			Limit:           up.requestLimit(now, lease),
 			Running:         up.running,
 			Streams:         up.streams,
 			Cold:            now < up.coldUntil,
-			StartUnverified: up.unsure(now, lease),
-			NoNewWork:       up.closed(),
+			StartUnverified: up.unconfirmed(now, lease),
+			NoNewWork:       up.noNewWork(),
 		})
 	}
 	slices.SortFunc(views, func(a, b model.UpstreamView) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/core/engine/window.go
+++ b/internal/core/engine/window.go
@@ -7,20 +7,20 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// window counts events of at least the last interval and at most the last two.
+// window counts events over a span of between one and two intervals up to now.
 type window struct {
-	start    model.Instant
-	now, old int
+	start             model.Instant
+	current, previous int
 }
 
 func (w *window) add(now model.Instant, interval time.Duration) {
 	w.roll(now, interval)
-	w.now++
+	w.current++
 }
 
 func (w *window) sum(now model.Instant, interval time.Duration) int {
 	w.roll(now, interval)
-	return w.now + w.old
+	return w.current + w.previous
 }
 
 func (w *window) roll(now model.Instant, interval time.Duration) {
@@ -28,27 +28,29 @@
 	if age < interval {
 		return
 	}
-	w.old = w.now
+	w.previous = w.current
 	if age >= 2*interval {
-		w.old = 0
+		w.previous = 0
 	}
-	w.now, w.start = 0, now
+	w.current, w.start = 0, now
 }
 
-const gaugeSpan = 2 * time.Second
+// gaugeTimeConstant is the time after which a level has a weight of 1/e in the mean.
+const gaugeTimeConstant = 2 * time.Second
 
-// gauge follows the mean of a level over the last few seconds.
+// gauge is an exponentially weighted moving average of a level over time.
 type gauge struct {
 	mean, level float64
-	at          model.Instant
+	updatedAt   model.Instant
 }
 
 func (g *gauge) set(now model.Instant, level float64) {
 	g.mean = g.read(now)
-	g.level, g.at = level, now
+	g.level, g.updatedAt = level, now
 }
 
+// read returns the mean at now, where the last level is assumed to have lasted until then.
 func (g *gauge) read(now model.Instant) float64 {
-	keep := math.Exp(-float64(now.Sub(g.at)) / float64(gaugeSpan))
-	return g.mean*keep + g.level*(1-keep)
+	decay := math.Exp(-float64(now.Sub(g.updatedAt)) / float64(gaugeTimeConstant))
+	return g.mean*decay + g.level*(1-decay)
 }
--- a/internal/core/engine/world_test.go
+++ b/internal/core/engine/world_test.go
@@ -17,7 +17,8 @@
 	worldUpstreams = 3
 	step           = 50 * time.Millisecond
 	workTime       = 100 * time.Millisecond
-	flightTime     = 200 * time.Millisecond
+	// maxTransit is how long a message to an upstream may be in flight before the network loses it.
+	maxTransit = 200 * time.Millisecond
 )
 
 var worldTiming = model.Timing{Detection: 2 * time.Second, WarmLease: time.Second, BindingLife: 4 * time.Second, StreamLife: time.Hour}
@@ -26,7 +27,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, host}), port)
 }
 
-// worldDocument returns two services with three upstreams each in two domains.
+// worldDocument returns a document with two services of three upstreams each in two failure domains.
 func worldDocument(version model.Version) *model.Document {
 	doc := &model.Document{
 		Version: version,
@@ -60,7 +61,7 @@
 	return doc
 }
 
-// upstreamSim is an upstream that recognises no repeat.
+// upstreamSim simulates an upstream, which does not detect repeated requests.
 type upstreamSim struct {
 	cfg       model.Upstream
 	service   netip.AddrPort
@@ -71,19 +72,19 @@
 	running   int
 }
 
-// instanceSim is one instance and what was delivered to it.
+// instanceSim is one instance with the membership and the document that it knows.
 type instanceSim struct {
 	self   model.Member
 	engine *engine.Engine
 	dead   bool
 	paused bool
-	// view is the number of the membership that it knows.
-	view    int
-	version model.Version
-	boots   int
+	// membership is the index in world.memberships that it knows; -1 for none.
+	membership int
+	version    model.Version
+	boots      int
 }
 
-// message is one datagram on its way.
+// message is one datagram in flight.
 type message struct {
 	to       int
 	upstream *upstreamSim
@@ -91,18 +92,18 @@
 	answer   *model.Answer
 	reply    *reply
 	from     int
-	// sent is when a packet for an upstream left; the network loses what takes longer than flightTime.
+	// sent is when a packet to an upstream was sent; the network loses it if it takes longer than maxTransit.
 	sent model.Instant
 }
 
-// reply is what an instance tells a caller by itself.
+// reply is an answer that an instance itself sends to a caller.
 type reply struct {
 	verb    model.Verb
 	packet  *model.Packet
 	binding []byte
 }
 
-// bookingSim is one request that must run at most once.
+// bookingSim is a booking, a request that must run at most once, as its caller and the upstreams see it.
 type bookingSim struct {
 	ref     uint64
 	binding []byte
@@ -110,23 +111,23 @@
 	refused bool
 }
 
-// world is a few instances, upstreams and callers with every message in the hands of the test.
+// world simulates several instances, upstreams and callers; the test controls the delivery of every message.
 type world struct {
 	t         *rapid.T
 	now       model.Instant
 	doc       *model.Document
 	instances []*instanceSim
 	upstreams map[netip.AddrPort]*upstreamSim
-	mail      []message
+	messages  []message
 	bookings  map[uint64]*bookingSim
-	// views holds each membership, and viewAt when it came to be.
-	views  [][]model.Member
-	viewAt []model.Instant
-	work   []job
-	boots  uint64
+	// memberships holds each state of the membership in order, and membershipSince when it started.
+	memberships     [][]model.Member
+	membershipSince []model.Instant
+	jobs            []job
+	boots           uint64
 }
 
-// job is a request that an upstream runs.
+// job is a request that an upstream is running.
 type job struct {
 	up   *upstreamSim
 	boot model.BootID
@@ -152,7 +153,7 @@
 	for n := range w.instances {
 		w.startInstance(n)
 	}
-	w.newView()
+	w.addMembership()
 	return w
 }
 
@@ -167,11 +168,11 @@
 	in.engine.SetKeys(bind.Keys{Version: 1, List: []bind.Key{{Epoch: 1, Secret: [32]byte{1}}}})
 	in.engine.SetDocument(w.now, w.doc)
 	in.version = w.doc.Version
-	in.view = -1
+	in.membership = -1
 }
 
-// newView makes the membership that the instances will come to know.
-func (w *world) newView() {
+// addMembership appends the current membership, which the instances learn later.
+func (w *world) addMembership() {
 	var members []model.Member
 	for _, in := range w.instances {
 		m := in.self
@@ -180,47 +181,48 @@
 		}
 		members = append(members, m)
 	}
-	w.views = append(w.views, members)
-	w.viewAt = append(w.viewAt, w.now)
+	w.memberships = append(w.memberships, members)
+	w.membershipSince = append(w.membershipSince, w.now)
 }
 
-// learnViews tells each instance of memberships no later than the detection time.
-func (w *world) learnViews(at func(n int) bool) {
-	latest := len(w.views) - 1
+// applyMemberships passes the last membership to each running instance that has none, whose detection time is over or for which early returns
+// true.
+func (w *world) applyMemberships(early func(n int) bool) {
+	latest := len(w.memberships) - 1
 	for n, in := range w.instances {
-		if in.dead || in.paused || in.view == latest {
+		if in.dead || in.paused || in.membership == latest {
 			continue
 		}
-		due := in.view < 0 || w.now.Sub(w.viewAt[in.view+1]) >= worldTiming.Detection-step
-		if due || at(n) {
-			in.view = latest
-			in.engine.SetMembers(w.now, w.views[latest], nil)
+		due := in.membership < 0 || w.now.Sub(w.membershipSince[in.membership+1]) >= worldTiming.Detection-step
+		if due || early(n) {
+			in.membership = latest
+			in.engine.SetMembers(w.now, w.memberships[latest], nil)
 		}
 	}
 }
 
-// advance lets time pass for everything that runs.
+// advance moves the time one step forward for everything that is running.
 func (w *world) advance() {
 	w.now = w.now.Add(step)
-	w.learnViews(func(int) bool { return false })
+	w.applyMemberships(func(int) bool { return false })
 	for n, in := range w.instances {
 		if !in.dead && !in.paused {
-			w.carry(n, in.engine.Tick(w.now))
+			w.perform(n, in.engine.Tick(w.now))
 		}
 	}
-	w.finishWork()
+	w.completeJobs()
 }
 
-func (w *world) finishWork() {
-	var left []job
-	for _, j := range w.work {
+func (w *world) completeJobs() {
+	var remaining []job
+	for _, j := range w.jobs {
 		switch {
 		case j.up.boot != j.boot || j.up.dead:
 		case j.done > w.now:
-			left = append(left, j)
+			remaining = append(remaining, j)
 		default:
 			j.up.running--
-			w.mail = append(w.mail, message{to: j.msg.from, from: -1, answer: &model.Answer{
+			w.messages = append(w.messages, message{to: j.msg.from, from: -1, answer: &model.Answer{
 				Flow:        j.msg.packet.Flow,
 				Token:       j.msg.packet.Token,
 				MessageID:   j.msg.packet.MessageID,
@@ -232,11 +234,11 @@
 			}})
 		}
 	}
-	w.work = left
+	w.jobs = remaining
 }
 
-// carry puts what an instance decided on its way.
-func (w *world) carry(n int, actions []model.Action) {
+// perform carries out the actions of an instance.
+func (w *world) perform(n int, actions []model.Action) {
 	for i := range actions {
 		a := actions[i]
 		switch a.Verb {
@@ -245,10 +247,10 @@
 		case model.VerbHandOff:
 			p := *a.Packet
 			p.Hops++
-			w.mail = append(w.mail, message{to: w.index(a.Peer), from: n, packet: &p})
+			w.messages = append(w.messages, message{to: w.index(a.Peer), from: n, packet: &p})
 		case model.VerbChallenge, model.VerbRefuse, model.VerbOutcomeUnknown:
-			w.mail = append(w.mail, message{to: -1, reply: &reply{verb: a.Verb, packet: a.Packet, binding: a.Binding}})
-			w.checkRefusal(a)
+			w.messages = append(w.messages, message{to: -1, reply: &reply{verb: a.Verb, packet: a.Packet, binding: a.Binding}})
+			w.recordRefusal(a)
 		}
 	}
 }
@@ -265,37 +267,37 @@
 func (w *world) forward(n int, a model.Action) {
 	up := w.upstreams[a.Address]
 	if up == nil || up.service != a.Packet.Flow.Service {
-		w.t.Fatalf("packet for %s sent to %s", a.Packet.Flow.Service, a.Address)
+		w.t.Fatalf("packet to service %s was forwarded to %s, which is not an upstream of it", a.Packet.Flow.Service, a.Address)
 	}
-	w.mail = append(w.mail, message{to: -1, upstream: up, from: n, packet: a.Packet, sent: w.now})
+	w.messages = append(w.messages, message{to: -1, upstream: up, from: n, packet: a.Packet, sent: w.now})
 }
 
-// checkRefusal records that a booking was said not to have run.
-func (w *world) checkRefusal(a model.Action) {
+// recordRefusal records that a booking was refused as not run; it fails the test if the booking did run.
+func (w *world) recordRefusal(a model.Action) {
 	if a.Verb != model.VerbRefuse || a.Packet.Class != model.ClassOnce || len(a.Packet.Binding) == 0 {
 		return
 	}
 	b := w.bookings[a.Packet.Digest]
 	b.refused = true
 	if b.runs > 0 {
-		w.t.Fatalf("booking %d was refused as not run and ran", b.ref)
+		w.t.Fatalf("booking %d was refused as not run after it ran", b.ref)
 	}
 }
 
-// arrive runs a request at an upstream.
-func (w *world) arrive(m message) {
+// runRequest starts a request at an upstream.
+func (w *world) runRequest(m message) {
 	up := m.upstream
-	if up.dead || w.now.Sub(m.sent) > flightTime {
+	if up.dead || w.now.Sub(m.sent) > maxTransit {
 		return
 	}
 	up.running++
 	if w.now < up.coldUntil && up.running > up.cfg.ColdSlots {
-		w.t.Fatalf("%s had %d requests at once in cold start", up.cfg.ID, up.running)
+		w.t.Fatalf("upstream %s runs %d concurrent requests during a cold start", up.cfg.ID, up.running)
 	}
 	if m.packet.Class == model.ClassOnce {
 		w.runBooking(m.packet)
 	}
-	w.work = append(w.work, job{up: up, boot: up.boot, done: w.now.Add(workTime), msg: m})
+	w.jobs = append(w.jobs, job{up: up, boot: up.boot, done: w.now.Add(workTime), msg: m})
 }
 
 func (w *world) runBooking(p *model.Packet) {
@@ -309,23 +311,23 @@
 	}
 }
 
-// deliver brings one message to where it goes.
+// deliver passes one message to its recipient; a dead or paused instance loses it.
 func (w *world) deliver(m message) {
 	switch {
 	case m.upstream != nil:
-		w.arrive(m)
+		w.runRequest(m)
 	case m.reply != nil:
-		w.hear(m.reply)
+		w.receiveReply(m.reply)
 	case m.to < 0 || w.instances[m.to].dead || w.instances[m.to].paused:
 	case m.packet != nil:
-		w.carry(m.to, w.instances[m.to].engine.Packet(w.now, m.packet))
+		w.perform(m.to, w.instances[m.to].engine.Packet(w.now, m.packet))
 	case m.answer != nil:
-		w.carry(m.to, w.instances[m.to].engine.Answer(w.now, m.answer))
+		w.perform(m.to, w.instances[m.to].engine.Answer(w.now, m.answer))
 	}
 }
 
-// hear lets a caller follow the first binding that it is given.
-func (w *world) hear(r *reply) {
+// receiveReply makes the caller use the first binding that it receives.
+func (w *world) receiveReply(r *reply) {
 	b := w.bookings[r.packet.Digest]
 	if b == nil || r.verb != model.VerbChallenge || b.binding != nil {
 		return
--- a/internal/core/once/once.go
+++ b/internal/core/once/once.go
@@ -1,52 +1,54 @@
-// Package once remembers what an issuer did with each request that must run at most once.
+// Package once records the state of requests that must run at most once, at the instance that issued their bindings.
 package once
 
 import "hawthorncourse/internal/core/model"
 
-// State is how far a request has come.
+// State is the progress of a request.
 type State uint8
 
 // The states of requests.
 const (
-	// StateNew has not been forwarded.
+	// StateNew means that the request has not been forwarded.
 	StateNew State = iota + 1
-	// StateRunning has been forwarded and not answered.
+	// StateRunning means that the request has been forwarded and not answered.
 	StateRunning
-	// StateAnswered keeps the upstream's answer.
+	// StateAnswered means that Entry.Answer holds the upstream's answer.
 	StateAnswered
-	// StateRefused was never run and will never be forwarded.
+	// StateRefused means that the request was not run and will never be forwarded.
 	StateRefused
-	// StateUnknown was forwarded and its answer was not seen in time.
+	// StateUnknown means that the request was forwarded and no answer arrived in time.
 	StateUnknown
 )
 
-// Key names one request, or one part of a transfer in parts, under one binding.
+// Key identifies one request, or one block of a block-wise transfer, under one binding.
 type Key struct {
+	// Serial is that of the binding.
 	Serial uint64
-	Block  uint32
+	// Block is the number of the block; zero for a request that is not block-wise.
+	Block uint32
 }
 
-// Entry is what is remembered of one request.
+// Entry is the record of one request.
 type Entry struct {
 	Key   Key
 	State State
-	// Digest is that of the first copy; other content is another request.
+	// Digest is the digest of the first copy; a copy with another digest is a different request.
 	Digest uint64
-	// Answer is set in StateAnswered.
+	// Answer is the raw answer of the upstream; it is set in StateAnswered.
 	Answer []byte
-	// Waiter is the newest copy of the request, to which the answer goes.
-	Waiter *model.Packet
-	// Tried holds the upstreams that had the request; none gets it twice.
+	// LatestCopy is the latest copy of the request, to which the answer is sent.
+	LatestCopy *model.Packet
+	// Tried holds the upstreams to which the request was forwarded; none gets it twice.
 	Tried []model.UpstreamID
-	// expiry is when no copy can be valid any more.
+	// expiry is when the binding of every copy has expired.
 	expiry model.Instant
 }
 
-// Ledger holds the entries of one issuer.
+// Ledger holds the records of one issuer.
 type Ledger struct {
 	entries map[Key]*Entry
-	// order holds the entries by expiry.
-	order []*Entry
+	// byExpiry holds the entries in the order of their expiry.
+	byExpiry []*Entry
 }
 
 // NewLedger returns an empty ledger.
@@ -54,28 +56,28 @@
 	return &Ledger{entries: map[Key]*Entry{}}
 }
 
-// Find returns the entry of the key, or nil.
+// Find returns the entry for the key, or nil.
 func (l *Ledger) Find(key Key) *Entry {
 	return l.entries[key]
 }
 
-// Open adds an entry in StateNew that is kept until expiry; expiries must not fall from call to call.
-func (l *Ledger) Open(key Key, p *model.Packet, expiry model.Instant) *Entry {
-	e := &Entry{Key: key, State: StateNew, Digest: p.Digest, Waiter: p, expiry: expiry}
+// Add creates an entry in StateNew that is kept until expiry. expiry must not decrease from one call to the next.
+func (l *Ledger) Add(key Key, p *model.Packet, expiry model.Instant) *Entry {
+	e := &Entry{Key: key, State: StateNew, Digest: p.Digest, LatestCopy: p, expiry: expiry}
 	l.entries[key] = e
-	l.order = append(l.order, e)
+	l.byExpiry = append(l.byExpiry, e)
 	return e
 }
 
-// Expire forgets the entries whose time has passed.
+// Expire removes the entries whose expiry has passed.
 func (l *Ledger) Expire(now model.Instant) {
 	n := 0
-	for n < len(l.order) && l.order[n].expiry <= now {
-		delete(l.entries, l.order[n].Key)
-		l.order[n] = nil
+	for n < len(l.byExpiry) && l.byExpiry[n].expiry <= now {
+		delete(l.entries, l.byExpiry[n].Key)
+		l.byExpiry[n] = nil
 		n++
 	}
-	l.order = l.order[n:]
+	l.byExpiry = l.byExpiry[n:]
 }
 
 // Len returns the number of entries.
@@ -83,8 +85,8 @@
 	return len(l.entries)
 }
 
-// Had reports whether the upstream had the request before.
-func (e *Entry) Had(id model.UpstreamID) bool {
+// WasTried reports whether the request was forwarded to the upstream before.
+func (e *Entry) WasTried(id model.UpstreamID) bool {
 	for _, tried := range e.Tried {
 		if tried == id {
 			return true
