--- a/internal/core/direct/bench_test.go
+++ b/internal/core/direct/bench_test.go
@@ -13,10 +13,10 @@
 
 func benchEngine(upstreams int) *direct.Engine {
 	e := direct.New(direct.Config{Domain: "east", Seed: 1, Limits: direct.Limits{FlowLife: time.Minute}})
-	e.SetRoutes(table(1))
+	e.SetRoutes(routeTable(1))
 	items := make([]model.Registration, 0, upstreams)
 	for n := range upstreams {
-		u := member(n+1, "east")
+		u := registration(n+1, "east")
 		u.ID = model.UpstreamID(fmt.Sprintf("desk-%x", n+1))
 		items = append(items, u)
 	}
@@ -25,7 +25,7 @@
 	return e
 }
 
-// BenchmarkOpen places new flows among few and many upstreams.
+// BenchmarkOpen opens flows with few and many upstreams to choose from.
 func BenchmarkOpen(b *testing.B) {
 	for _, n := range []int{14, 120, 1200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// BenchmarkRelay forwards data of an open flow.
+// BenchmarkRelay forwards data packets of one open flow.
 func BenchmarkRelay(b *testing.B) {
 	e := benchEngine(14)
 	now := model.Instant(time.Minute)
@@ -58,7 +58,7 @@
 	}
 }
 
-// BenchmarkMemory holds open flows.
+// BenchmarkMemory reports the heap bytes per open flow.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/core/direct/cold.go
+++ b/internal/core/direct/cold.go
@@ -8,59 +8,60 @@
 	"hawthorncourse/internal/core/roster"
 )
 
-// coldWindow is longer than the second over which the platform counts, for what was under way before.
+// coldWindow exceeds the one second over which the platform counts, to allow for flows still in transit.
 const coldWindow = 1100 * time.Millisecond
 
-// coldLimits counts the new flows that cold upstreams got from this instance.
-type coldLimits struct {
+// coldLimiter counts the new flows that this instance recently sent to cold upstreams.
+type coldLimiter struct {
 	sent []coldSend
-	// queue is reused from one choice to the next.
-	queue []*roster.Upstream
+	// candidates is a buffer reused between choices.
+	candidates []*roster.Upstream
 }
 
+// coldSend is one new flow sent to a cold upstream.
 type coldSend struct {
 	at model.Instant
 	up *roster.Upstream
 }
 
-// SetOrdinal notes the number of this instance among those of its failure domain, and until when to believe in it.
-func (e *Engine) SetOrdinal(p model.Ordinal, until model.Instant) {
-	e.place, e.placeUntil = p, until
+// SetOrdinal sets the ordinal of this instance within its failure domain, valid until the given time.
+func (e *Engine) SetOrdinal(ordinal model.Ordinal, until model.Instant) {
+	e.ordinal, e.ordinalUntil = ordinal, until
 }
 
-// coldShare returns how many flows this instance may send to one cold upstream in a window.
-func (e *Engine) coldShare(now model.Instant, u *roster.Upstream) int {
-	if now >= e.placeUntil {
+// coldQuota returns how many new flows this instance may send to one cold upstream per coldWindow; zero without a valid ordinal.
+func (e *Engine) coldQuota(now model.Instant, u *roster.Upstream) int {
+	if now >= e.ordinalUntil {
 		return 0
 	}
 	return allot.ColdUpstream{
 		Upstream: u.ID,
-		Capacity: int(e.limits[u.Service].ColdRate*e.cfg.Limits.ColdFactor + e.cfg.Limits.ColdSlack),
+		Capacity: int(e.serviceLimits[u.Service].ColdRate*e.cfg.Limits.ColdFactor + e.cfg.Limits.ColdSlack),
 		Local:    u.Domain == e.cfg.Domain,
 		Domains:  e.cfg.Limits.Domains,
-		Ordinal:  e.place,
+		Ordinal:  e.ordinal,
 	}.Share()
 }
 
-// admits reports whether a cold upstream may get one more flow within the share of this instance.
-func (c *coldLimits) admits(up *roster.Upstream, share int) bool {
-	n := 0
+// allows reports whether a cold upstream may get one more flow within the quota of this instance.
+func (c *coldLimiter) allows(up *roster.Upstream, quota int) bool {
+	recent := 0
 	for _, s := range c.sent {
 		if s.up == up {
-			n++
+			recent++
 		}
 	}
-	return n < share
+	return recent < quota
 }
 
-// note counts a flow that goes to an upstream; only cold ones matter.
-func (c *coldLimits) note(now model.Instant, up *roster.Upstream) {
+// record counts a new flow if its upstream is cold.
+func (c *coldLimiter) record(now model.Instant, up *roster.Upstream) {
 	if up.Cold(now) {
 		c.sent = append(c.sent, coldSend{at: now, up: up})
 	}
 }
 
-func (c *coldLimits) tick(now model.Instant) {
+func (c *coldLimiter) expire(now model.Instant) {
 	for len(c.sent) > 0 && now.Sub(c.sent[0].at) >= coldWindow {
 		c.sent = c.sent[1:]
 	}
--- a/internal/core/direct/cold_test.go
+++ b/internal/core/direct/cold_test.go
@@ -11,139 +11,140 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// TestColdShare checks how much of what a cold upstream bears one instance takes.
-func TestColdShare(t *testing.T) {
+// TestColdQuota checks how many new flows of a cold upstream's rate one instance may send.
+func TestColdQuota(t *testing.T) {
 	alone := model.Ordinal{Count: 1}
 	cases := map[string]struct {
-		rate   float64
-		domain model.DomainID
-		place  model.Ordinal
-		late   time.Duration
-		want   int
+		rate    float64
+		domain  model.DomainID
+		ordinal model.Ordinal
+		delay   time.Duration
+		want    int
 	}{
-		"only the slack, alone in the domain": {place: alone, want: 3},
-		"a rate of ten":                       {rate: 10, place: alone, want: 10},
-		"two in the domain":                   {rate: 10, place: model.Ordinal{Index: 1, Count: 2}, want: 5},
-		"the other domain divides the rest":   {rate: 10, domain: "west", place: alone, want: 10},
-		"without a number":                    {rate: 10},
-		"with a number that is outdated":      {rate: 10, place: alone, late: time.Minute},
+		"slack only, one instance":           {ordinal: alone, want: 3},
+		"rate of 10, one instance":           {rate: 10, ordinal: alone, want: 10},
+		"rate of 10, two instances":          {rate: 10, ordinal: model.Ordinal{Index: 1, Count: 2}, want: 5},
+		"upstream in another failure domain": {rate: 10, domain: "west", ordinal: alone, want: 10},
+		"no ordinal":                         {rate: 10},
+		"expired ordinal":                    {rate: 10, ordinal: alone, delay: time.Minute},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			item := member(1, "east")
+			item := registration(1, "east")
 			item.ColdFor = time.Hour
-			d := &desk{I: is.New(t), now: model.Instant(time.Minute)}
+			h := &harness{I: is.New(t), now: model.Instant(time.Minute)}
 			if tc.domain == "" {
 				tc.domain = "east"
 			}
-			d.e = direct.New(direct.Config{Domain: tc.domain, Seed: 1, Limits: direct.Limits{Domains: 2, FlowLife: time.Minute, ColdFactor: 1.5, ColdSlack: 5}})
-			limits := table(1)
+			h.engine = direct.New(direct.Config{Domain: tc.domain, Seed: 1, Limits: direct.Limits{Domains: 2, FlowLife: time.Minute, ColdFactor: 1.5, ColdSlack: 5}})
+			limits := routeTable(1)
 			limits.Services = []model.ServiceLimits{{ID: "desk", ColdRate: tc.rate}}
-			d.True(d.e.SetRoutes(limits))
-			d.list(item)
-			d.e.SetReady(d.now)
-			d.e.SetOrdinal(tc.place, d.now.Add(time.Second))
-			d.now = d.now.Add(tc.late)
+			h.True(h.engine.SetRoutes(limits))
+			h.sync(item)
+			h.engine.SetReady(h.now)
+			h.engine.SetOrdinal(tc.ordinal, h.now.Add(time.Second))
+			h.now = h.now.Add(tc.delay)
 			placed := 0
 			for port := uint16(1); port <= 30; port++ {
-				if d.syn(port, feedAddress, 0).Verb == model.VerbForward {
+				if h.syn(port, feedAddress, 0).Verb == model.VerbForward {
 					placed++
 				}
 			}
-			d.Equal(placed, tc.want)
+			h.Equal(placed, tc.want)
 		})
 	}
 }
 
-// TestColdLimit replays a failure domain of 24 instances whose upstreams are all cold, as after the domain was out: together
-// the instances give no upstream more than it bears in any second, and leave none idle.
-func TestColdLimit(t *testing.T) {
-	const instances, upstreams, bears = 24, 10, 5
+// TestColdLimitAcrossInstances simulates a failure domain of 24 instances whose upstreams are all cold, as after an outage of the domain.
+// Together the instances must never exceed an upstream's rate in any second, and must use every upstream.
+func TestColdLimitAcrossInstances(t *testing.T) {
+	const instances, upstreams, rate = 24, 10, 5
 	is := is.New(t)
 	var items []model.Registration
 	for n := range upstreams {
-		item := member(n+1, "east")
+		item := registration(n+1, "east")
 		item.ColdFor = time.Hour
 		items = append(items, item)
 	}
-	var desks []*desk
+	var harnesses []*harness
 	for n := range instances {
-		d := &desk{I: is, now: model.Instant(time.Minute)}
-		d.e = direct.New(direct.Config{Domain: "east", Seed: uint64(n + 1), Limits: direct.Limits{Domains: 4, FlowLife: time.Minute, ColdFactor: 1.5, ColdSlack: bears}})
-		d.True(d.e.SetRoutes(table(1)))
-		d.list(items...)
-		d.e.SetReady(d.now)
-		d.e.SetOrdinal(model.Ordinal{Index: n, Count: instances}, d.now.Add(time.Hour))
-		desks = append(desks, d)
+		h := &harness{I: is, now: model.Instant(time.Minute)}
+		h.engine = direct.New(direct.Config{Domain: "east", Seed: uint64(n + 1), Limits: direct.Limits{Domains: 4, FlowLife: time.Minute, ColdFactor: 1.5, ColdSlack: rate}})
+		h.True(h.engine.SetRoutes(routeTable(1)))
+		h.sync(items...)
+		h.engine.SetReady(h.now)
+		h.engine.SetOrdinal(model.Ordinal{Index: n, Count: instances}, h.now.Add(time.Hour))
+		harnesses = append(harnesses, h)
 	}
 	sent := map[model.UpstreamID][]model.Instant{}
 	for step := range 300 {
-		for _, d := range desks {
-			d.now = model.Instant(time.Minute).Add(time.Duration(step) * 10 * time.Millisecond)
-			actions := append(d.e.Tick(d.now), d.syn(uint16(step+1), feedAddress, 0))
+		for _, h := range harnesses {
+			h.now = model.Instant(time.Minute).Add(time.Duration(step) * 10 * time.Millisecond)
+			actions := append(h.engine.Tick(h.now), h.syn(uint16(step+1), feedAddress, 0))
 			for _, a := range actions {
 				if a.Verb == model.VerbForward {
-					sent[a.Upstream.ID] = append(sent[a.Upstream.ID], d.now)
+					sent[a.Upstream.ID] = append(sent[a.Upstream.ID], h.now)
 				}
 			}
 		}
 	}
 	is.Equal(len(sent), upstreams)
-	for _, list := range sent {
-		for n := bears; n < len(list); n++ {
-			is.True(list[n].Sub(list[n-bears]) >= time.Second)
+	for _, times := range sent {
+		for n := rate; n < len(times); n++ {
+			is.True(times[n].Sub(times[n-rate]) >= time.Second)
 		}
 	}
 }
 
-// TestRestart replays an upstream that was down and answers again before the registry tells whether it has restarted.
-func TestRestart(t *testing.T) {
+// TestPossibleRestart checks an upstream that was down and responds again before the registry shows whether it has restarted: it must be
+// treated as cold until the registry updates it or the length of a cold start has passed.
+func TestPossibleRestart(t *testing.T) {
 	const coldFor = 2 * time.Second
 	cases := map[string]struct {
-		// down holds the upstreams that answer no probe.
+		// down holds the indexes of the upstreams whose probes fail.
 		down []int
-		// told is what the registry says after the return, and late how long after it the flows come.
-		told func(*model.Registration)
-		late time.Duration
-		cold bool
+		// update changes the registry entry after the recovery, and delay is the time from then to the check.
+		update func(*model.Registration)
+		delay  time.Duration
+		cold   bool
 	}{
-		"one upstream":                       {down: []int{0}, cold: true},
-		"one, and its cold start is over":    {down: []int{0}, late: coldFor},
-		"one, and the registry says warm":    {down: []int{0}, told: func(r *model.Registration) { r.Revision = 50 }},
-		"one, and the registry says cold":    {down: []int{0}, told: func(r *model.Registration) { r.Boot, r.Revision, r.ColdFor = 9, 50, coldFor }, cold: true},
-		"the whole failure domain, by a cut": {down: []int{0, 1}},
+		"one upstream":                     {down: []int{0}, cold: true},
+		"one upstream, cold start over":    {down: []int{0}, delay: coldFor},
+		"one upstream, registry says warm": {down: []int{0}, update: func(r *model.Registration) { r.Revision = 50 }},
+		"one upstream, registry says cold": {down: []int{0}, update: func(r *model.Registration) { r.Boot, r.Revision, r.ColdFor = 9, 50, coldFor }, cold: true},
+		"partitioned failure domain":       {down: []int{0, 1}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			d := &desk{I: is.New(t), now: model.Instant(time.Minute)}
-			d.e = direct.New(direct.Config{Domain: "east", Seed: 1, Limits: direct.Limits{Domains: 2, FlowLife: time.Minute, ColdSlack: 5}})
-			limits := table(1)
+			h := &harness{I: is.New(t), now: model.Instant(time.Minute)}
+			h.engine = direct.New(direct.Config{Domain: "east", Seed: 1, Limits: direct.Limits{Domains: 2, FlowLife: time.Minute, ColdSlack: 5}})
+			limits := routeTable(1)
 			limits.Services = []model.ServiceLimits{{ID: "desk", ColdFor: coldFor}}
-			d.True(d.e.SetRoutes(limits))
-			items := three()
-			d.list(items...)
-			d.e.SetReady(d.now)
-			ups := d.e.Roster().ByService("desk")
+			h.True(h.engine.SetRoutes(limits))
+			items := threeUpstreams()
+			h.sync(items...)
+			h.engine.SetReady(h.now)
+			ups := h.engine.Roster().ByService("desk")
 			for range 2 {
 				for _, n := range tc.down {
-					ups[n].Health.RecordTimeout(d.now)
-					ups[n].Health.StartProbe(d.now)
-					d.e.FinishProbe(d.now, ups[n], health.OutcomeFailed)
+					ups[n].Health.RecordTimeout(h.now)
+					ups[n].Health.StartProbe(h.now)
+					h.engine.FinishProbe(h.now, ups[n], health.OutcomeFailed)
 				}
-				d.now = d.now.Add(time.Second)
+				h.now = h.now.Add(time.Second)
 			}
 			for _, n := range tc.down {
-				ups[n].Health.StartProbe(d.now)
-				d.e.FinishProbe(d.now, ups[n], health.OutcomeAnswered)
+				ups[n].Health.StartProbe(h.now)
+				h.engine.FinishProbe(h.now, ups[n], health.OutcomeAnswered)
 			}
-			if tc.told != nil {
-				tc.told(&items[0])
-				d.list(items...)
+			if tc.update != nil {
+				tc.update(&items[0])
+				h.sync(items...)
 			}
-			d.now = d.now.Add(tc.late)
-			for _, u := range d.e.Roster().ByService("desk") {
+			h.now = h.now.Add(tc.delay)
+			for _, u := range h.engine.Roster().ByService("desk") {
 				if u.ID == items[0].ID {
-					d.Equal(u.Cold(d.now), tc.cold)
+					h.Equal(u.Cold(h.now), tc.cold)
 				}
 			}
 		})
--- a/internal/core/direct/engine.go
+++ b/internal/core/direct/engine.go
@@ -1,4 +1,5 @@
-// Package direct steers flows whose packets carry a routing tag and whose upstreams answer callers directly; it does no I/O and reads no clock.
+// Package direct load-balances flows with direct server return: packets carry a routing tag that names their upstream, and upstreams answer
+// callers directly. The package does no I/O and reads no clock.
 package direct
 
 import (
@@ -15,172 +16,172 @@
 )
 
 const (
-	// flowLimit bounds memory to about 60 MB; today's services hold 36,000 flows at most.
+	// flowLimit bounds memory to about 60 MB; the present services hold at most 36,000 flows.
 	flowLimit = 200_000
-	// defaultFlowIdle is used until a configuration states how long an idle flow is kept.
+	// defaultFlowIdle is the idle timeout of flows until a configuration sets one.
 	defaultFlowIdle = 15 * time.Second
 )
 
-// Config is what an Engine is built from.
+// Config configures an Engine.
 type Config struct {
 	// Domain is the failure domain of this instance.
 	Domain model.DomainID
-	// Seed feeds every random choice.
+	// Seed initialises the random number generator.
 	Seed uint64
-	// Limits are those in force at first.
+	// Limits are the initial limits.
 	Limits Limits
-	// Policy picks the upstream of a new flow; nil for the default policy.
+	// Policy picks the upstream of a new flow; nil selects the default policy.
 	Policy choose.Policy[place.Candidate[*roster.Upstream]]
-	// Disabled replaces decisions by their simpler alternative, for comparison.
+	// Disabled turns off single features, to measure what each contributes.
 	Disabled Disabled
 }
 
-// Limits holds the figures that may change while an engine decides.
+// Limits holds the settings that may change while the engine runs.
 type Limits struct {
 	// Domains is the number of failure domains; zero counts as one.
 	Domains int
-	// FlowLife is the longest life of a flow.
+	// FlowLife is the longest lifetime of a flow.
 	FlowLife time.Duration
-	// ColdFactor multiplies the rate that a cold upstream bears.
+	// ColdFactor multiplies the rate of new flows that a cold upstream is declared to handle.
 	ColdFactor float64
-	// ColdSlack is the number of flows a second that a cold upstream may get beyond its rate.
+	// ColdSlack is the number of new flows per second that a cold upstream may get beyond its rate.
 	ColdSlack float64
 }
 
-// Disabled names decisions that are left out.
+// Disabled selects features to turn off.
 type Disabled struct {
-	// Resend leaves opening packets to the caller's own copies.
+	// Resend disables retries of unanswered SYNs; callers retransmit them.
 	Resend bool
-	// Probes leaves upstreams without an answer in use.
+	// Probes disables probing and ejection, so that upstreams that do not answer stay in use.
 	Probes bool
-	// Resets leaves callers of unreachable upstreams to their deadline.
+	// Resets disables resets of flows whose upstream is unreachable; callers wait for their deadline.
 	Resets bool
-	// Suspicions keeps what other instances found silent from this one.
+	// Suspicions makes the engine ignore the suspicions of other instances.
 	Suspicions bool
-	// Isolation keeps an instance ready that reaches no upstream.
+	// Isolation disables the detection of isolation: an instance that reaches no upstream stays ready.
 	Isolation bool
 }
 
-// Action is one decision to carry out.
+// Action is one decision of the engine, for its user to carry out.
 type Action struct {
 	// Verb is VerbForward, VerbReset, VerbDrop or VerbProbe.
 	Verb   model.Verb
 	Reason model.Reason
 	Flow   model.FlowKey
-	// Upstream is set for VerbForward and VerbProbe, and for others where one is concerned.
+	// Upstream is set for VerbForward and VerbProbe, and for other verbs when an upstream is involved.
 	Upstream *roster.Upstream
-	// Attempt is set when the packet opens a flow: how many upstreams got it so far, this one included.
+	// Attempt is set when a SYN is forwarded: the number of upstreams that it has been sent to, this one included.
 	Attempt int
-	// Candidates is how many upstreams the choice was between; it is set with Offered.
+	// Candidates is the number of upstreams that this one was chosen from; set together with Attempt.
 	Candidates int
-	// Tag is the one that the caller's packet carried.
+	// Tag is the routing tag of the caller's packet.
 	Tag model.RoutingTag
-	// Timeout is how long the probe may take; it is set for VerbProbe.
+	// Timeout is how long the probe may take; set for VerbProbe.
 	Timeout time.Duration
 	// Raw is the packet to forward.
 	Raw []byte
-	// Seq is what the caller last acknowledged; it is set for VerbReset.
+	// Seq is the sequence number of the reset, which is the caller's last acknowledgement number; set for VerbReset.
 	Seq uint32
 }
 
-// Sample is one time that was measured.
+// Sample is one measured duration.
 type Sample struct {
 	Kind     SampleKind
 	Duration time.Duration
 }
 
-// SampleKind says what was measured.
+// SampleKind is the type of a Sample.
 type SampleKind uint8
 
 // The kinds of samples.
 const (
-	// SampleHandshake is from an opening packet to the caller's next one.
+	// SampleHandshake is the time from a SYN to the caller's next packet.
 	SampleHandshake SampleKind = iota + 1
-	// SampleAnswer is from the last byte of a request to the caller's word that the answer arrives.
+	// SampleAnswer is the time from the last byte of a request to the caller's first acknowledgement of the answer.
 	SampleAnswer
 )
 
-// samplesLimit bounds the samples that wait for Samples.
-const samplesLimit = 4096
+// sampleLimit bounds the samples held for TakeSamples; later ones are dropped.
+const sampleLimit = 4096
 
-func (e *Engine) sample(kind SampleKind, took time.Duration) {
-	if len(e.samples) < samplesLimit {
+func (e *Engine) addSample(kind SampleKind, took time.Duration) {
+	if len(e.samples) < sampleLimit {
 		e.samples = append(e.samples, Sample{Kind: kind, Duration: took})
 	}
 }
 
-// TakeSamples returns what was measured since the last call; it is valid until the next packet.
+// TakeSamples returns the samples since the last call; the slice is valid until the next packet.
 func (e *Engine) TakeSamples() []Sample {
-	list := e.samples
+	samples := e.samples
 	e.samples = e.samples[:0]
-	return list
+	return samples
 }
 
-// Engine steers for one instance; its methods must not be called at the same time.
+// Engine decides on the flows of one instance. It is not safe for concurrent use.
 type Engine struct {
-	cfg     Config
-	rng     *rand.Rand
-	policy  choose.Policy[place.Candidate[*roster.Upstream]]
-	roster  *roster.Roster
-	table   model.RouteTable
-	routes  map[netip.AddrPort]*route
-	limits  map[model.ServiceID]model.ServiceLimits
-	flows   *recent.Table[model.FlowKey, flow]
-	timers  timers
-	budget  choose.RetryBudget
-	shakes  handshakes
-	domains map[model.DomainID]*health.DomainTracker
-	doubts  doubts
-	cold    coldLimits
-	// place is the number of this instance among those of its failure domain, believed until placeUntil.
-	place      model.Ordinal
-	placeUntil model.Instant
-	// unknown holds when each tag that nobody here knows was first seen; at most unknownLimit.
-	unknown map[unknownTag]model.Instant
-	// probing counts the probes under way; at most probesAtOnce.
-	probing int
+	cfg           Config
+	rng           *rand.Rand
+	policy        choose.Policy[place.Candidate[*roster.Upstream]]
+	roster        *roster.Roster
+	table         model.RouteTable
+	routes        map[netip.AddrPort]*route
+	serviceLimits map[model.ServiceID]model.ServiceLimits
+	flows         *recent.Table[model.FlowKey, flow]
+	timers        timers
+	retryBudget   choose.RetryBudget
+	handshakes    handshakeEstimator
+	domains       map[model.DomainID]*health.DomainTracker
+	suspicions    suspicions
+	cold          coldLimiter
+	// ordinal is the number of this instance within its failure domain, valid until ordinalUntil.
+	ordinal      model.Ordinal
+	ordinalUntil model.Instant
+	// unknownTags holds when each unknown tag was first seen; at most unknownTagLimit.
+	unknownTags map[unknownTag]model.Instant
+	// activeProbes counts the running probes; at most probeLimit.
+	activeProbes int
 	// ready is set once routes, upstreams and failure domains are known.
 	ready bool
-	// early holds packets until the engine is ready; at most earlyLimit.
-	early   []earlyPacket
-	actions []Action
-	notes   []Event
-	samples []Sample
-	// released is reused from one release to the next.
-	released []model.FlowKey
-	// candidates is reused from one choice to the next.
+	// earlyPackets holds the packets received before the engine is ready; at most earlyPacketLimit.
+	earlyPackets []earlyPacket
+	actions      []Action
+	events       []Event
+	samples      []Sample
+	// resetQueue is a buffer reused by resetWaitingFlows.
+	resetQueue []model.FlowKey
+	// candidates is a buffer reused between choices.
 	candidates []place.Candidate[*roster.Upstream]
-	// doubted is reused from one choice to the next.
-	doubted []*roster.Upstream
+	// unreachable is a buffer for unreachable upstreams, reused between choices.
+	unreachable []*roster.Upstream
 }
 
-// route is a route with every service that it ever sent flows to, as far as this instance knows.
+// route is a configured route with all services that it has sent flows to, as far as this instance knows.
 type route struct {
 	model.Route
-	// services begins with the present targets.
+	// services holds the current targets first, then earlier ones, whose open flows continue.
 	services []model.ServiceID
 }
 
-// New returns an engine that knows no routes and no upstreams yet.
+// New returns an engine without routes and upstreams.
 func New(cfg Config) *Engine {
 	policy := cfg.Policy
 	if policy == nil {
 		policy = place.NewPolicy[*roster.Upstream]()
 	}
 	return &Engine{
-		cfg:     cfg,
-		rng:     rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
-		policy:  policy,
-		roster:  roster.New(roster.Config{TagRetention: cfg.Limits.FlowLife}),
-		table:   model.RouteTable{FlowIdle: defaultFlowIdle},
-		routes:  map[netip.AddrPort]*route{},
-		limits:  map[model.ServiceID]model.ServiceLimits{},
-		flows:   recent.New[model.FlowKey, flow](flowLimit),
-		budget:  choose.RetryBudget{Percent: resendPercent},
-		domains: map[model.DomainID]*health.DomainTracker{},
-		doubts:  newDoubts(),
-		cold:    coldLimits{},
-		unknown: map[unknownTag]model.Instant{},
+		cfg:           cfg,
+		rng:           rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
+		policy:        policy,
+		roster:        roster.New(roster.Config{TagRetention: cfg.Limits.FlowLife}),
+		table:         model.RouteTable{FlowIdle: defaultFlowIdle},
+		routes:        map[netip.AddrPort]*route{},
+		serviceLimits: map[model.ServiceID]model.ServiceLimits{},
+		flows:         recent.New[model.FlowKey, flow](flowLimit),
+		retryBudget:   choose.RetryBudget{Percent: retryBudgetPercent},
+		domains:       map[model.DomainID]*health.DomainTracker{},
+		suspicions:    newSuspicions(),
+		cold:          coldLimiter{},
+		unknownTags:   map[unknownTag]model.Instant{},
 	}
 }
 
@@ -190,51 +191,51 @@
 	e.roster.SetTagRetention(l.FlowLife)
 }
 
-// Roster returns the upstreams that the engine knows.
+// Roster returns the upstreams known to the engine; the user of the engine updates it from the registry.
 func (e *Engine) Roster() *roster.Roster {
 	return e.roster
 }
 
-// SetReady lets the engine decide on packets, those that arrived before included; the actions are valid until the next call.
+// SetReady starts the handling of packets, including those queued so far. The actions are valid until the next call.
 func (e *Engine) SetReady(now model.Instant) []Action {
 	e.actions = e.actions[:0]
 	if e.ready {
 		return nil
 	}
 	e.ready = true
-	for i := range e.early {
-		if early := &e.early[i]; now.Sub(early.at) <= earlyLife {
-			e.decide(now, &early.seg)
+	for i := range e.earlyPackets {
+		if early := &e.earlyPackets[i]; now.Sub(early.at) <= earlyPacketTTL {
+			e.dispatch(now, &early.seg)
 		}
 	}
-	e.early = nil
+	e.earlyPackets = nil
 	return e.actions
 }
 
 const (
-	// earlyLimit bounds the packets that wait for an instance to be ready; more would take it longer than their callers wait.
-	earlyLimit = 512
-	// earlyLife is how long they wait: callers repeat an opening packet after 200 ms, and then this one is of no use.
-	earlyLife = 200 * time.Millisecond
+	// earlyPacketLimit bounds the packets queued until the instance is ready; handling more would take longer than their callers wait.
+	earlyPacketLimit = 512
+	// earlyPacketTTL is how long a packet is queued: callers retransmit a SYN after 200 ms, which makes the queued one useless.
+	earlyPacketTTL = 200 * time.Millisecond
 )
 
-// earlyPacket is one that arrived before the instance was ready.
+// earlyPacket is a packet received before the engine was ready.
 type earlyPacket struct {
 	at  model.Instant
 	seg model.Segment
 }
 
-// FlowCount returns how many flows are remembered.
+// FlowCount returns the number of flows tracked.
 func (e *Engine) FlowCount() int {
 	return e.flows.Len()
 }
 
-// Revision returns that of the configuration in force.
+// Revision returns the revision of the configuration in use.
 func (e *Engine) Revision() model.Revision {
 	return e.table.Revision
 }
 
-// SetRoutes puts a configuration in force unless a newer one is; it reports whether it did.
+// SetRoutes installs a configuration if it is newer than the current one, and reports whether it did.
 func (e *Engine) SetRoutes(t model.RouteTable) bool {
 	if t.Revision <= e.table.Revision {
 		return false
@@ -246,14 +247,14 @@
 			next.services = append(next.services, target.Service)
 		}
 		if old := e.routes[r.Address]; old != nil {
-			next.services = appendNew(next.services, old.services)
+			next.services = appendMissing(next.services, old.services)
 		}
 		routes[r.Address] = next
 	}
 	e.routes = routes
-	e.limits = make(map[model.ServiceID]model.ServiceLimits, len(t.Services))
+	e.serviceLimits = make(map[model.ServiceID]model.ServiceLimits, len(t.Services))
 	for _, s := range t.Services {
-		e.limits[s.ID] = s
+		e.serviceLimits[s.ID] = s
 	}
 	if t.FlowIdle <= 0 {
 		t.FlowIdle = defaultFlowIdle
@@ -262,8 +263,8 @@
 	return true
 }
 
-// appendNew appends the values of more that list lacks.
-func appendNew[T comparable](list, more []T) []T {
+// appendMissing appends the values of more that list lacks.
+func appendMissing[T comparable](list, more []T) []T {
 	for _, v := range more {
 		known := false
 		for _, have := range list {
@@ -276,34 +277,34 @@
 	return list
 }
 
-// Tick does what is due; the actions are valid until the next call.
+// Tick runs the timeouts, probes and expirations that are due. The actions are valid until the next call.
 func (e *Engine) Tick(now model.Instant) []Action {
 	e.actions = e.actions[:0]
 	e.expireHandshakes(now)
 	e.roster.ExpireTags(now)
-	e.probeBarred(now)
-	e.cold.tick(now)
-	e.doubts.tick(now)
-	e.flows.Expire(now, e.table.FlowIdle, func(_ model.FlowKey, f *flow) { f.end() })
+	e.startDueProbes(now)
+	e.cold.expire(now)
+	e.suspicions.expire(now)
+	e.flows.Expire(now, e.table.FlowIdle, func(_ model.FlowKey, f *flow) { f.releaseLoad() })
 	return e.actions
 }
 
-// NextDeadline returns when Tick is due for a handshake; ok is false when none waits.
+// NextDeadline returns when Tick must run for the next SYN timeout; ok is false when none is pending.
 func (e *Engine) NextDeadline() (at model.Instant, ok bool) {
 	return e.timers.next()
 }
 
-// forward sends a packet of an open flow on.
+// forward forwards a packet of an open flow.
 func (e *Engine) forward(up *roster.Upstream, seg *model.Segment) {
 	e.actions = append(e.actions, Action{Verb: model.VerbForward, Flow: seg.Flow, Upstream: up, Raw: seg.Raw, Tag: seg.Tag})
 }
 
-// reset ends a flow towards its caller; up is nil where none is concerned.
+// reset sends a reset to the caller of a flow; up is nil when no upstream is involved.
 func (e *Engine) reset(seg *model.Segment, up *roster.Upstream, reason model.Reason) {
 	e.actions = append(e.actions, Action{Verb: model.VerbReset, Reason: reason, Flow: seg.Flow, Upstream: up, Seq: seg.AckSeq, Tag: seg.Tag})
 }
 
-// drop leaves a packet; up is nil where none is concerned.
+// drop drops a packet; up is nil when no upstream is involved.
 func (e *Engine) drop(seg *model.Segment, up *roster.Upstream, reason model.Reason) {
 	e.actions = append(e.actions, Action{Verb: model.VerbDrop, Reason: reason, Flow: seg.Flow, Upstream: up, Tag: seg.Tag})
 }
--- a/internal/core/direct/flow.go
+++ b/internal/core/direct/flow.go
@@ -7,62 +7,62 @@
 	"hawthorncourse/internal/core/roster"
 )
 
-// flow is what this instance saw of one flow.
+// flow is the state of one flow as seen by this instance.
 type flow struct {
-	// up is where the flow's packets go; it is nil only before the first choice.
+	// up is the upstream that the flow's packets go to; nil only before the first choice.
 	up *roster.Upstream
-	// tried holds every upstream that got the opening packet, in order.
+	// tried holds every upstream that the SYN was sent to, in order.
 	tried []*roster.Upstream
-	// opening is the opening packet; it is nil once the flow is open or was not seen to open here.
-	opening []byte
-	// sent is when the opening packet last went to up.
-	sent model.Instant
-	// open is set once the caller was seen to hold an answer from up.
-	open bool
-	// counted is set while the flow counts in the load of up.
+	// syn is the raw SYN; nil once the flow is established, or if this instance did not see the SYN.
+	syn []byte
+	// synAt is when the SYN was last sent to up.
+	synAt model.Instant
+	// established is set once a packet of the caller shows that it has received a packet from up.
+	established bool
+	// counted is set while the flow is included in the load of up.
 	counted bool
-	// asked is when the last byte of the unanswered request went to up; zero for none.
-	asked model.Instant
-	// position is the end of the data that passed here.
-	position uint32
-	// received is the last acknowledgement of the caller.
-	received uint32
-	// ahead counts the data packets since the last sign of life from up.
-	ahead int
-	// missed is set once the unanswered data counted against up.
-	missed bool
+	// requestAt is when the last byte of the unanswered request was sent to up; zero if there is none.
+	requestAt model.Instant
+	// sentSeq is the sequence number after the last byte of data forwarded.
+	sentSeq uint32
+	// ackSeq is the last acknowledgement number of the caller.
+	ackSeq uint32
+	// unconfirmed counts the data packets forwarded since up last showed that it is alive.
+	unconfirmed int
+	// timedOut is set once the unanswered request has been counted as a timeout of up.
+	timedOut bool
 }
 
-// count adds the open flow to the load of its upstream.
-func (f *flow) count() {
+// addLoad includes the flow in the load of its upstream.
+func (f *flow) addLoad() {
 	if !f.counted {
 		f.counted = true
 		f.up.Load.Flows++
 	}
 }
 
-// ask notes that data of a request went to the upstream.
-func (f *flow) ask(now model.Instant) {
-	if f.asked == 0 {
+// startRequest records that request data was sent to the upstream.
+func (f *flow) startRequest(now model.Instant) {
+	if f.requestAt == 0 {
 		f.up.Load.Running++
 	}
-	f.asked = now
+	f.requestAt = now
 }
 
-// answer notes that the upstream's answer has reached the caller.
-func (f *flow) answer(now model.Instant) {
-	if f.asked != 0 {
+// finishRequest records that an answer of the upstream has reached the caller.
+func (f *flow) finishRequest(now model.Instant) {
+	if f.requestAt != 0 {
 		f.up.Load.Running--
-		f.up.Load.Observe(now.Sub(f.asked))
-		f.asked = 0
+		f.up.Load.Observe(now.Sub(f.requestAt))
+		f.requestAt = 0
 	}
 }
 
-// end takes the flow out of the load of its upstream.
-func (f *flow) end() {
-	if f.asked != 0 {
+// releaseLoad removes the flow and its running request from the load of its upstream.
+func (f *flow) releaseLoad() {
+	if f.requestAt != 0 {
 		f.up.Load.Running--
-		f.asked = 0
+		f.requestAt = 0
 	}
 	if f.counted {
 		f.up.Load.Flows--
@@ -70,16 +70,16 @@
 	}
 }
 
-// move sends the flow to another upstream; what counted at the old one ends.
-func (f *flow) move(up *roster.Upstream) {
+// reassign moves the flow to another upstream and releases the load at the old one.
+func (f *flow) reassign(up *roster.Upstream) {
 	if f.up == up {
 		return
 	}
-	f.end()
+	f.releaseLoad()
 	f.up = up
 }
 
-// wasTried reports whether the upstream got the opening packet.
+// wasTried reports whether the SYN was sent to the upstream.
 func (f *flow) wasTried(up *roster.Upstream) bool {
 	for _, t := range f.tried {
 		if t == up {
@@ -89,10 +89,11 @@
 	return false
 }
 
-// repeatAfter is below the time after which callers repeat data (200 ms); what comes sooner was overtaken on its way.
-const repeatAfter = 150 * time.Millisecond
+// retransmitAfter is below the time after which callers retransmit data (200 ms); older data that arrives sooner was reordered on its way.
+const retransmitAfter = 150 * time.Millisecond
 
-// waits reports whether the packet repeats data that got no answer; a flow that was not seen before is taken not to wait.
-func (f *flow) waits(now model.Instant, seg *model.Segment) bool {
-	return f != nil && f.open && f.asked != 0 && seg.Size > 0 && !after(seg.Seq+uint32(seg.Size), f.position) && now.Sub(f.asked) >= repeatAfter
+// isRetransmission reports whether the packet retransmits data that is still unanswered; it is false for a nil flow, which was not seen
+// before.
+func (f *flow) isRetransmission(now model.Instant, seg *model.Segment) bool {
+	return f != nil && f.established && f.requestAt != 0 && seg.Size > 0 && !seqAfter(seg.Seq+uint32(seg.Size), f.sentSeq) && now.Sub(f.requestAt) >= retransmitAfter
 }
--- a/internal/core/direct/open.go
+++ b/internal/core/direct/open.go
@@ -8,60 +8,60 @@
 )
 
 const (
-	// resendFloor is above twice the longest handshake within one region (8 ms).
-	resendFloor = 20 * time.Millisecond
-	// resendCeiling is half of the caller's own pause before it repeats an opening packet (200 ms).
-	resendCeiling = 100 * time.Millisecond
-	// resendFactor leaves room above the mean handshake for queues at the upstream and here.
-	resendFactor = 3
-	// resendPercent bounds opening packets that go to a further upstream, as a share of first ones.
-	resendPercent = 50
-	// triesLimit is how many upstreams get the opening packet of one flow unasked.
-	triesLimit = 3
-	// stallLimit is how late a timer may be before this instance must have stood still itself.
-	stallLimit = 50 * time.Millisecond
+	// minHandshakeTimeout is above twice the longest handshake within one region (8 ms).
+	minHandshakeTimeout = 20 * time.Millisecond
+	// maxHandshakeTimeout is half of the time after which callers retransmit a SYN (200 ms).
+	maxHandshakeTimeout = 100 * time.Millisecond
+	// handshakeTimeoutFactor leaves room above the mean handshake for queueing at the upstream and at this instance.
+	handshakeTimeoutFactor = 3
+	// retryBudgetPercent bounds the SYNs retried at another upstream, as a percentage of new flows.
+	retryBudgetPercent = 50
+	// attemptLimit is how many upstreams the SYN of one flow is sent to without a retransmission by the caller.
+	attemptLimit = 3
+	// stallThreshold is how late a timer may fire; beyond it, this instance itself must have been stalled.
+	stallThreshold = 50 * time.Millisecond
 )
 
-// handshakes follows how long callers take to hold an upstream's answer.
-type handshakes struct {
+// handshakeEstimator keeps a moving average of the handshake time, from a SYN to the caller's next packet.
+type handshakeEstimator struct {
 	// mean is in nanoseconds; zero before the first sample.
 	mean float64
 }
 
-// handshakeGain weighs one sample; 1/16 follows a change of the path within some dozens of handshakes.
+// handshakeGain is the weight of one sample; 1/16 follows a path change within a few dozen handshakes.
 const handshakeGain = 1.0 / 16
 
-func (h *handshakes) observe(d time.Duration) {
+func (h *handshakeEstimator) observe(d time.Duration) {
 	if h.mean == 0 {
 		h.mean = float64(d)
 		return
 	}
-	h.mean += handshakeGain * (min(float64(d), float64(resendCeiling)) - h.mean)
+	h.mean += handshakeGain * (min(float64(d), float64(maxHandshakeTimeout)) - h.mean)
 }
 
-// timeout returns how long an opening packet may stay without an answer.
-func (h *handshakes) timeout() time.Duration {
-	return min(max(time.Duration(h.mean*resendFactor), resendFloor), resendCeiling)
+// timeout returns how long a SYN may go unanswered.
+func (h *handshakeEstimator) timeout() time.Duration {
+	return min(max(time.Duration(h.mean*handshakeTimeoutFactor), minHandshakeTimeout), maxHandshakeTimeout)
 }
 
-// open decides on an opening packet.
-func (e *Engine) open(now model.Instant, seg *model.Segment) {
+// openFlow handles a SYN.
+func (e *Engine) openFlow(now model.Instant, seg *model.Segment) {
 	r := e.routes[seg.Flow.Service]
 	if r == nil {
 		e.reset(seg, nil, model.ReasonNoRoute)
 		return
 	}
 	f := e.flows.Touch(now, seg.Flow)
-	if f != nil && (f.open || (seg.Retransmission == 0 && f.opening == nil)) {
-		// The port is used again: what was known is of an earlier flow.
-		f.end()
+	if f != nil && (f.established || (seg.Retransmission == 0 && f.syn == nil)) {
+		// The caller's port is reused: the state belongs to an earlier flow.
+		f.releaseLoad()
 		f = nil
 	}
 	reason := model.ReasonNone
 	if f != nil {
 		reason = model.ReasonCallerRepeats
 	} else {
-		e.budget.Deposit()
+		e.retryBudget.Deposit()
 		if !e.flows.Put(now, seg.Flow, flow{}) {
 			e.reset(seg, nil, model.ReasonFlowLimit)
 			return
@@ -74,53 +74,54 @@
 		e.reset(seg, nil, model.ReasonNoUpstream)
 		return
 	}
-	f.opening = append(f.opening[:0], seg.Raw...)
-	e.offer(now, seg.Flow, f, up, reason)
+	f.syn = append(f.syn[:0], seg.Raw...)
+	e.sendSyn(now, seg.Flow, f, up, reason)
 }
 
-// offer sends the opening packet of a flow to an upstream.
-func (e *Engine) offer(now model.Instant, key model.FlowKey, f *flow, up *roster.Upstream, reason model.Reason) {
-	f.move(up)
+// sendSyn sends the SYN of a flow to an upstream and starts its timeout.
+func (e *Engine) sendSyn(now model.Instant, key model.FlowKey, f *flow, up *roster.Upstream, reason model.Reason) {
+	f.reassign(up)
 	if !f.wasTried(up) {
 		f.tried = append(f.tried, up)
 	}
-	f.sent = now
-	e.timers.add(timer{at: now.Add(e.shakes.timeout()), flow: key, sent: now})
-	e.cold.note(now, up)
+	f.synAt = now
+	e.timers.add(timer{deadline: now.Add(e.handshakes.timeout()), flow: key, sentAt: now})
+	e.cold.record(now, up)
 	e.actions = append(e.actions, Action{
-		Verb: model.VerbForward, Reason: reason, Flow: key, Upstream: up, Raw: f.opening,
+		Verb: model.VerbForward, Reason: reason, Flow: key, Upstream: up, Raw: f.syn,
 		Attempt: len(f.tried), Candidates: len(e.candidates),
 	})
 }
 
-// expireHandshakes sends opening packets that got no answer to a further upstream.
+// expireHandshakes counts unanswered SYNs as timeouts and retries them at another upstream.
 func (e *Engine) expireHandshakes(now model.Instant) {
 	for {
-		t, ok := e.timers.due(now)
+		t, ok := e.timers.popDue(now)
 		if !ok {
 			return
 		}
 		f := e.flows.Peek(t.flow)
-		if f == nil || f.open || f.sent != t.sent || f.opening == nil {
+		if f == nil || f.established || f.synAt != t.sentAt || f.syn == nil {
 			continue
 		}
-		if now.Sub(t.at) > stallLimit {
-			// Answers may wait unread: judge only after another timeout of this instance's own time.
-			t.at = now.Add(e.shakes.timeout())
+		if now.Sub(t.deadline) > stallThreshold {
+			// Answers may be waiting unread: allow another timeout of this instance's running time first.
+			t.deadline = now.Add(e.handshakes.timeout())
 			e.timers.add(t)
 			continue
 		}
-		e.miss(now, f.up, t.sent)
-		e.resend(now, t.flow, f)
+		e.recordTimeout(now, f.up, t.sentAt)
+		e.retrySyn(now, t.flow, f)
 	}
 }
 
-func (e *Engine) resend(now model.Instant, key model.FlowKey, f *flow) {
+// retrySyn sends the SYN of a flow to another upstream, within the limits on attempts and retries.
+func (e *Engine) retrySyn(now model.Instant, key model.FlowKey, f *flow) {
 	r := e.routes[key.Service]
-	if r == nil || len(f.tried) >= triesLimit || e.cfg.Disabled.Resend {
+	if r == nil || len(f.tried) >= attemptLimit || e.cfg.Disabled.Resend {
 		return
 	}
-	if !e.budget.TryWithdraw() {
+	if !e.retryBudget.TryWithdraw() {
 		e.drop(&model.Segment{Flow: key}, f.up, model.ReasonRetryBudget)
 		return
 	}
@@ -128,5 +129,5 @@
 	if up == nil || f.wasTried(up) {
 		return
 	}
-	e.offer(now, key, f, up, model.ReasonHandshakeSilent)
+	e.sendSyn(now, key, f, up, model.ReasonHandshakeSilent)
 }
--- a/internal/core/direct/packet.go
+++ b/internal/core/direct/packet.go
@@ -7,33 +7,33 @@
 	"hawthorncourse/internal/core/roster"
 )
 
-// windowPackets is how many packets a caller may have under way; more prove that earlier ones were acknowledged.
-const windowPackets = 16
+// maxInFlightPackets is the most data packets that a caller has in flight; if more pass, the upstream must have acknowledged earlier ones.
+const maxInFlightPackets = 16
 
-// Packet decides on one packet; the actions are valid until the next call.
+// Packet handles one packet; the actions are valid until the next call. Before SetReady, packets are queued.
 func (e *Engine) Packet(now model.Instant, seg *model.Segment) []Action {
 	e.actions = e.actions[:0]
 	switch {
 	case e.ready:
-		e.decide(now, seg)
-	case len(e.early) < earlyLimit:
-		e.early = append(e.early, earlyPacket{at: now, seg: *seg})
+		e.dispatch(now, seg)
+	case len(e.earlyPackets) < earlyPacketLimit:
+		e.earlyPackets = append(e.earlyPackets, earlyPacket{at: now, seg: *seg})
 	default:
 		e.drop(seg, nil, model.ReasonNotReady)
 	}
 	return e.actions
 }
 
-func (e *Engine) decide(now model.Instant, seg *model.Segment) {
+func (e *Engine) dispatch(now model.Instant, seg *model.Segment) {
 	if seg.Syn {
-		e.open(now, seg)
+		e.openFlow(now, seg)
 		return
 	}
-	e.relay(now, seg)
+	e.forwardOpen(now, seg)
 }
 
-// relay decides on a packet of a flow that its caller believes open.
-func (e *Engine) relay(now model.Instant, seg *model.Segment) {
+// forwardOpen handles a packet of a flow that its caller considers open.
+func (e *Engine) forwardOpen(now model.Instant, seg *model.Segment) {
 	r := e.routes[seg.Flow.Service]
 	if r == nil {
 		e.reset(seg, nil, model.ReasonRouteRemoved)
@@ -42,16 +42,16 @@
 	f := e.flows.Touch(now, seg.Flow)
 	up := e.resolve(r, f, seg)
 	if up == nil {
-		e.unresolved(now, seg, f)
+		e.handleUnresolved(now, seg, f)
 		return
 	}
 	if up.State == roster.StateGone {
-		e.ended(seg, f, up, model.ReasonUpstreamGone)
+		e.terminate(seg, f, up, model.ReasonUpstreamGone)
 		return
 	}
-	if seg.Size > 0 && r.Kind == model.RouteIdempotent && up.Health.Unreachable(f.waits(now, seg)) && !e.cfg.Disabled.Resets {
-		// The caller may repeat its request, and a new flow finds an upstream that can be reached.
-		e.ended(seg, f, up, model.ReasonUpstreamUnreachable)
+	if seg.Size > 0 && r.Kind == model.RouteIdempotent && up.Health.Unreachable(f.isRetransmission(now, seg)) && !e.cfg.Disabled.Resets {
+		// The caller may safely repeat its request, and a new flow is sent to a reachable upstream.
+		e.terminate(seg, f, up, model.ReasonUpstreamUnreachable)
 		return
 	}
 	if f == nil {
@@ -61,16 +61,16 @@
 		}
 		f = e.flows.Peek(seg.Flow)
 	}
-	f.move(up)
+	f.reassign(up)
 	e.observe(now, seg, f)
 	e.forward(up, seg)
 	if seg.Reset {
-		f.end()
+		f.releaseLoad()
 		e.flows.Delete(seg.Flow)
 	}
 }
 
-// resolve returns the upstream of a packet: by its tag among the services of its route, or by what was seen of the flow.
+// resolve returns the upstream of a packet: by its tag among the services of its route, or from the flow's state if it has no tag.
 func (e *Engine) resolve(r *route, f *flow, seg *model.Segment) *roster.Upstream {
 	if seg.Tag != 0 {
 		for _, service := range r.services {
@@ -86,41 +86,41 @@
 	return nil
 }
 
-// unknownLimit bounds the tags that are remembered as unknown; more than that are noise.
-const unknownLimit = 1024
+// unknownTagLimit bounds the unknown tags that are remembered; more than that are noise, so the set is cleared when it is full.
+const unknownTagLimit = 1024
 
-// unknownTag is a tag that no upstream of a route's services had.
+// unknownTag is a tag that matches no upstream of a route's services.
 type unknownTag struct {
 	service netip.AddrPort
 	tag     model.RoutingTag
 }
 
-// unresolved decides on a packet whose upstream nobody here knows. It may be one that only others have heard of; once the
-// registry has been confirmed since the tag was first seen, it is one that has ended.
-func (e *Engine) unresolved(now model.Instant, seg *model.Segment, f *flow) {
+// handleUnresolved handles a packet whose upstream is not known. The packet is dropped while the upstream may be known to other instances
+// only. Once the registry has been confirmed since the tag was first seen, the upstream has ended and the flow is reset.
+func (e *Engine) handleUnresolved(now model.Instant, seg *model.Segment, f *flow) {
 	if seg.Tag == 0 {
 		e.drop(seg, nil, model.ReasonTagMissing)
 		return
 	}
 	key := unknownTag{service: seg.Flow.Service, tag: seg.Tag}
-	since, known := e.unknown[key]
+	since, known := e.unknownTags[key]
 	switch {
 	case !known:
-		if len(e.unknown) >= unknownLimit {
-			clear(e.unknown)
+		if len(e.unknownTags) >= unknownTagLimit {
+			clear(e.unknownTags)
 		}
-		e.unknown[key] = now
+		e.unknownTags[key] = now
 	case e.roster.Complete(now, since):
-		e.ended(seg, f, nil, model.ReasonUpstreamGone)
+		e.terminate(seg, f, nil, model.ReasonUpstreamGone)
 		return
 	}
 	e.drop(seg, nil, model.ReasonTagUnknown)
 }
 
-// ended answers a packet whose upstream will not get it, so that its caller need not wait.
-func (e *Engine) ended(seg *model.Segment, f *flow, up *roster.Upstream, reason model.Reason) {
+// terminate ends the flow of a packet that cannot be forwarded, and resets it so that its caller need not wait.
+func (e *Engine) terminate(seg *model.Segment, f *flow, up *roster.Upstream, reason model.Reason) {
 	if f != nil {
-		f.end()
+		f.releaseLoad()
 		e.flows.Delete(seg.Flow)
 	}
 	if seg.Reset {
@@ -130,58 +130,58 @@
 	e.reset(seg, up, reason)
 }
 
-// observe learns from a caller's packet how its upstream does.
+// observe updates the state of the flow and the health of its upstream from a caller's packet.
 func (e *Engine) observe(now model.Instant, seg *model.Segment, f *flow) {
-	if !f.open {
-		e.opened(now, seg, f)
-	}
-	if seg.HasAck && after(seg.AckSeq, f.received) {
-		f.received = seg.AckSeq
-		e.progress(now, f)
-		if f.asked != 0 {
-			e.sample(SampleAnswer, now.Sub(f.asked))
+	if !f.established {
+		e.finishHandshake(now, seg, f)
+	}
+	if seg.HasAck && seqAfter(seg.AckSeq, f.ackSeq) {
+		f.ackSeq = seg.AckSeq
+		e.recordProgress(now, f)
+		if f.requestAt != 0 {
+			e.addSample(SampleAnswer, now.Sub(f.requestAt))
 		}
-		f.answer(now)
+		f.finishRequest(now)
 	}
 	end := seg.Seq + uint32(seg.Size)
 	switch {
-	case seg.Size > 0 && after(end, f.position):
-		f.position = end
-		f.ask(now)
-		if f.ahead++; f.ahead > windowPackets {
-			e.progress(now, f)
+	case seg.Size > 0 && seqAfter(end, f.sentSeq):
+		f.sentSeq = end
+		f.startRequest(now)
+		if f.unconfirmed++; f.unconfirmed > maxInFlightPackets {
+			e.recordProgress(now, f)
 		}
-	case f.waits(now, seg) && !f.missed:
-		f.missed = true
-		e.miss(now, f.up, f.asked)
+	case f.isRetransmission(now, seg) && !f.timedOut:
+		f.timedOut = true
+		e.recordTimeout(now, f.up, f.requestAt)
 	}
 	if seg.Fin {
-		f.end()
+		f.releaseLoad()
 	}
 }
 
-// opened notes that the caller holds an answer from the flow's upstream.
-func (e *Engine) opened(now model.Instant, seg *model.Segment, f *flow) {
-	f.open = true
-	if f.opening != nil {
-		e.alive(now, f.up)
+// finishHandshake records that the caller has received a packet from the flow's upstream.
+func (e *Engine) finishHandshake(now model.Instant, seg *model.Segment, f *flow) {
+	f.established = true
+	if f.syn != nil {
+		e.recordSuccess(now, f.up)
 		if len(f.tried) == 1 {
-			e.shakes.observe(now.Sub(f.sent))
-			e.sample(SampleHandshake, now.Sub(f.sent))
+			e.handshakes.observe(now.Sub(f.synAt))
+			e.addSample(SampleHandshake, now.Sub(f.synAt))
 		}
 	}
-	f.opening, f.tried = nil, nil
-	f.position, f.received = seg.Seq, seg.AckSeq
-	f.count()
+	f.syn, f.tried = nil, nil
+	f.sentSeq, f.ackSeq = seg.Seq, seg.AckSeq
+	f.addLoad()
 }
 
-// progress notes a sign of life within an open flow.
-func (e *Engine) progress(now model.Instant, f *flow) {
-	f.ahead, f.missed = 0, false
-	e.alive(now, f.up)
+// recordProgress records that the upstream of an established flow is alive.
+func (e *Engine) recordProgress(now model.Instant, f *flow) {
+	f.unconfirmed, f.timedOut = 0, false
+	e.recordSuccess(now, f.up)
 }
 
-// after compares positions, which wrap around.
-func after(a, b uint32) bool {
+// seqAfter reports whether sequence number a comes after b; sequence numbers wrap around.
+func seqAfter(a, b uint32) bool {
 	return int32(a-b) > 0
 }
--- a/internal/core/direct/reach.go
+++ b/internal/core/direct/reach.go
@@ -6,20 +6,20 @@
 	"hawthorncourse/internal/core/roster"
 )
 
-// probesAtOnce bounds the probes under way; with a wait of 50 ms that is 160 connections a second at most.
-const probesAtOnce = 8
+// probeLimit bounds the concurrent probes; with a timeout of 50 ms that is at most 160 connections per second.
+const probeLimit = 8
 
-// reachable reports whether new flows may go to the upstream as far as this instance sees.
+// reachable reports whether new flows may go to the upstream according to this instance's own health checks.
 func (e *Engine) reachable(u *roster.Upstream) bool {
-	return !u.Health.Ejected() && !e.domain(u.Domain).Partitioned()
+	return !u.Health.Ejected() && !e.domainTracker(u.Domain).Partitioned()
 }
 
-// Isolated reports whether there are upstreams but none that this instance can reach: callers are better off elsewhere.
+// Isolated reports whether usable upstreams exist but this instance reaches none of them; other instances should then serve the callers.
 func (e *Engine) Isolated() bool {
 	if e.cfg.Disabled.Isolation {
 		return false
 	}
-	some := false
+	usable := false
 	for _, u := range e.roster.All() {
 		if !e.roster.Usable(u) {
 			continue
@@ -27,48 +27,49 @@
 		if e.reachable(u) {
 			return false
 		}
-		some = true
+		usable = true
 	}
-	return some
+	return usable
 }
 
-// miss counts an unanswered packet against an upstream and lets a probe tell a lost packet from a lost upstream.
-func (e *Engine) miss(now model.Instant, u *roster.Upstream, sent model.Instant) {
+// recordTimeout counts an unanswered packet against an upstream and probes it, to tell a lost packet from an unreachable upstream.
+func (e *Engine) recordTimeout(now model.Instant, u *roster.Upstream, sent model.Instant) {
 	if e.cfg.Disabled.Probes {
 		return
 	}
-	was := u.Health.Ejected()
+	wasEjected := u.Health.Ejected()
 	u.Health.RecordTimeout(sent)
-	if !was && u.Health.Ejected() {
-		e.note(Event{Kind: EventUpstreamEjected, Upstream: u})
+	if !wasEjected && u.Health.Ejected() {
+		e.addEvent(Event{Kind: EventUpstreamEjected, Upstream: u})
 	}
-	e.probe(now, u)
+	e.startProbe(now, u)
 }
 
-// alive notes a sign of life of an upstream.
-func (e *Engine) alive(now model.Instant, u *roster.Upstream) {
+// recordSuccess records that an upstream responded within a flow.
+func (e *Engine) recordSuccess(now model.Instant, u *roster.Upstream) {
 	if u.Health.Ejected() {
-		e.note(Event{Kind: EventUpstreamReachable, Upstream: u, UnansweredFor: u.Health.UnansweredFor(now)})
+		e.addEvent(Event{Kind: EventUpstreamReachable, Upstream: u, UnansweredFor: u.Health.UnansweredFor(now)})
 	}
-	e.returned(now, u)
+	e.limitIfRestarted(now, u)
 	u.Health.RecordSuccess(now)
-	e.domainAlive(now, u.Domain)
+	e.recordDomainSuccess(now, u.Domain)
 }
 
-// returned notes a sign of life of an upstream. One that was down may have restarted: until the registry tells, or for as long
-// as a cold start takes, it gets no more than a cold one.
-func (e *Engine) returned(now model.Instant, u *roster.Upstream) {
+// limitIfRestarted treats an upstream that was down and responds again as cold, since it may have restarted: until the registry updates it,
+// or for the length of a cold start.
+func (e *Engine) limitIfRestarted(now model.Instant, u *roster.Upstream) {
 	if u.Health.Down() {
-		u.ColdUntil = max(u.ColdUntil, now.Add(e.limits[u.Service].ColdFor))
+		u.ColdUntil = max(u.ColdUntil, now.Add(e.serviceLimits[u.Service].ColdFor))
 	}
 }
 
-// domainAlive notes a sign of life of a failure domain; its other upstreams are then probed at once.
-func (e *Engine) domainAlive(now model.Instant, id model.DomainID) {
-	if !e.domain(id).RecordSuccess(now) {
+// recordDomainSuccess records that an upstream of a failure domain responded. If the domain was partitioned, its other upstreams are probed
+// without further delay.
+func (e *Engine) recordDomainSuccess(now model.Instant, id model.DomainID) {
+	if !e.domainTracker(id).RecordSuccess(now) {
 		return
 	}
-	e.note(Event{Kind: EventDomainReachable, Domain: id})
+	e.addEvent(Event{Kind: EventDomainReachable, Domain: id})
 	for _, u := range e.roster.All() {
 		if u.Domain == id {
 			u.Health.ExpediteProbe()
@@ -76,80 +77,81 @@
 	}
 }
 
-// probe asks for a probe of an upstream if one is due.
-func (e *Engine) probe(now model.Instant, u *roster.Upstream) {
-	if u.State != roster.StateGone && e.probing < probesAtOnce && u.Health.StartProbe(now) {
-		e.probing++
+// startProbe requests a probe of an upstream if one is due and fewer than probeLimit are running.
+func (e *Engine) startProbe(now model.Instant, u *roster.Upstream) {
+	if u.State != roster.StateGone && e.activeProbes < probeLimit && u.Health.StartProbe(now) {
+		e.activeProbes++
 		e.actions = append(e.actions, Action{Verb: model.VerbProbe, Upstream: u, Timeout: u.Health.ProbeTimeout()})
 	}
 }
 
-// FinishProbe takes the outcome of a probe; the actions are valid until the next call.
+// FinishProbe records the outcome of a probe, and resets the idempotent flows that wait for the upstream if it is unreachable. The actions
+// are valid until the next call.
 func (e *Engine) FinishProbe(now model.Instant, u *roster.Upstream, outcome health.Outcome) []Action {
 	e.actions = e.actions[:0]
-	e.judge(now, u, outcome)
+	e.recordProbe(now, u, outcome)
 	if outcome == health.OutcomeFailed && u.Health.Unreachable(true) {
-		e.release(u)
+		e.resetWaitingFlows(u)
 	}
 	return e.actions
 }
 
-// release resets the idempotent flows that wait for an upstream which cannot be reached: their next repeat may come after
-// their caller's deadline.
-func (e *Engine) release(u *roster.Upstream) {
+// resetWaitingFlows resets the idempotent flows that wait for an unreachable upstream: their callers' next retransmission may come after
+// the request's deadline.
+func (e *Engine) resetWaitingFlows(u *roster.Upstream) {
 	if e.cfg.Disabled.Resets {
 		return
 	}
 	e.flows.Each(func(key model.FlowKey, f *flow) bool {
 		r := e.routes[key.Service]
-		if f.up == u && f.open && f.missed && f.asked != 0 && r != nil && r.Kind == model.RouteIdempotent {
-			e.released = append(e.released, key)
+		if f.up == u && f.established && f.timedOut && f.requestAt != 0 && r != nil && r.Kind == model.RouteIdempotent {
+			e.resetQueue = append(e.resetQueue, key)
 		}
 		return true
 	})
-	for _, key := range e.released {
+	for _, key := range e.resetQueue {
 		f := e.flows.Peek(key)
-		e.ended(&model.Segment{Flow: key, AckSeq: f.received}, f, u, model.ReasonUpstreamUnreachable)
+		e.terminate(&model.Segment{Flow: key, AckSeq: f.ackSeq}, f, u, model.ReasonUpstreamUnreachable)
 	}
-	e.released = e.released[:0]
+	e.resetQueue = e.resetQueue[:0]
 }
 
-// judge counts the outcome of a probe.
-func (e *Engine) judge(now model.Instant, u *roster.Upstream, outcome health.Outcome) {
-	was := u.Health.Ejected()
+// recordProbe applies the outcome of a probe to the upstream and to its failure domain.
+func (e *Engine) recordProbe(now model.Instant, u *roster.Upstream, outcome health.Outcome) {
+	wasEjected := u.Health.Ejected()
 	if outcome == health.OutcomeAnswered {
-		e.returned(now, u)
+		e.limitIfRestarted(now, u)
 	}
 	u.Health.FinishProbe(now, outcome)
-	e.probing--
+	e.activeProbes--
 	if outcome == health.OutcomeAnswered {
-		if was {
-			e.note(Event{Kind: EventUpstreamReachable, Upstream: u})
+		if wasEjected {
+			e.addEvent(Event{Kind: EventUpstreamReachable, Upstream: u})
 		}
-		e.domainAlive(now, u.Domain)
+		e.recordDomainSuccess(now, u.Domain)
 		return
 	}
-	if !was && u.Health.Ejected() {
-		e.note(Event{Kind: EventUpstreamEjected, Upstream: u})
+	if !wasEjected && u.Health.Ejected() {
+		e.addEvent(Event{Kind: EventUpstreamEjected, Upstream: u})
 	}
 	if outcome != health.OutcomeFailed || !u.Health.Ejected() {
 		return
 	}
-	d := e.domain(u.Domain)
+	d := e.domainTracker(u.Domain)
 	if d.RecordProbeFailure(now, u.ID) {
-		e.note(Event{Kind: EventDomainPartitioned, Domain: u.Domain})
+		e.addEvent(Event{Kind: EventDomainPartitioned, Domain: u.Domain})
 	}
 	if d.Partitioned() {
-		e.blamePath(u.Domain)
+		e.markPathDown(u.Domain)
 	}
-	e.tellSilent(now, u, d)
+	e.reportUnreachable(now, u, d)
 	if d.Suspected(now) {
-		e.doubt(now, u.Domain)
+		e.suspectDomain(now, u.Domain)
 	}
 }
 
-// blamePath notes for every upstream of a silent failure domain that it need not have ended itself.
-func (e *Engine) blamePath(id model.DomainID) {
+// markPathDown marks every upstream of a partitioned failure domain as unreachable because of the path, so that it is not taken for down.
+func (e *Engine) markPathDown(id model.DomainID) {
 	for _, u := range e.roster.All() {
 		if u.Domain == id {
 			u.Health.MarkPathDown()
@@ -157,25 +159,25 @@
 	}
 }
 
-// doubt lets every upstream of a silent failure domain be probed for itself: several that died at once look like a cut,
-// and open flows of the others go on.
-func (e *Engine) doubt(now model.Instant, id model.DomainID) {
+// suspectDomain probes every upstream of an unresponsive failure domain: several upstreams that fail at the same time look like a
+// partition, and open flows to the others continue.
+func (e *Engine) suspectDomain(now model.Instant, id model.DomainID) {
 	for _, u := range e.roster.All() {
 		if u.Domain == id {
 			u.Health.MarkSuspect(now)
-			e.probe(now, u)
+			e.startProbe(now, u)
 		}
 	}
 }
 
-// probeBarred asks for the probes that are due, so that a return is noticed without any caller's packet.
-func (e *Engine) probeBarred(now model.Instant) {
+// startDueProbes starts the probes that are due, so that recovery is noticed without traffic from callers.
+func (e *Engine) startDueProbes(now model.Instant) {
 	for _, u := range e.roster.All() {
-		e.probe(now, u)
+		e.startProbe(now, u)
 	}
 }
 
-func (e *Engine) domain(id model.DomainID) *health.DomainTracker {
+func (e *Engine) domainTracker(id model.DomainID) *health.DomainTracker {
 	d := e.domains[id]
 	if d == nil {
 		d = &health.DomainTracker{}
--- a/internal/core/direct/reach_test.go
+++ b/internal/core/direct/reach_test.go
@@ -8,31 +8,32 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// TestDoubt checks that one failed probe in a silent failure domain has all of it probed, and in a busy one nobody else.
-func TestDoubt(t *testing.T) {
+// TestDomainSuspicion checks that one failed probe in an unresponsive failure domain leads to probes of its other upstreams, and in a
+// responsive domain to none.
+func TestDomainSuspicion(t *testing.T) {
 	cases := map[string]struct {
-		silent time.Duration
+		idle   time.Duration
 		probes int
 	}{
-		"a domain that was heard of just now": {silent: 10 * time.Millisecond},
-		"a domain that has been silent":       {silent: time.Second, probes: 1},
+		"responsive domain":   {idle: 10 * time.Millisecond},
+		"unresponsive domain": {idle: time.Second, probes: 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			d := newDesk(t, three()...)
-			ups := d.e.Roster().ByService("desk")
-			d.e.FinishProbe(d.now, ups[1], health.OutcomeAnswered)
-			d.now = d.now.Add(tc.silent)
-			ups[0].Health.RecordTimeout(d.now)
-			ups[0].Health.StartProbe(d.now)
+			h := newHarness(t, threeUpstreams()...)
+			ups := h.engine.Roster().ByService("desk")
+			h.engine.FinishProbe(h.now, ups[1], health.OutcomeAnswered)
+			h.now = h.now.Add(tc.idle)
+			ups[0].Health.RecordTimeout(h.now)
+			ups[0].Health.StartProbe(h.now)
 			probes := 0
-			for _, a := range d.e.FinishProbe(d.now, ups[0], health.OutcomeFailed) {
+			for _, a := range h.engine.FinishProbe(h.now, ups[0], health.OutcomeFailed) {
 				if a.Verb == model.VerbProbe {
-					d.Equal(a.Upstream, ups[1])
+					h.Equal(a.Upstream, ups[1])
 					probes++
 				}
 			}
-			d.Equal(probes, tc.probes)
+			h.Equal(probes, tc.probes)
 		})
 	}
 }
--- a/internal/core/direct/timers.go
+++ b/internal/core/direct/timers.go
@@ -6,15 +6,15 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// timer is when an opening packet of a flow is overdue.
+// timer is the timeout of one SYN.
 type timer struct {
-	at   model.Instant
-	flow model.FlowKey
-	// sent is when the packet went out; a later one has a timer of its own.
-	sent model.Instant
+	deadline model.Instant
+	flow     model.FlowKey
+	// sentAt is when the SYN was sent; a SYN sent again has its own timer.
+	sentAt model.Instant
 }
 
-// timers orders timers, the earliest first.
+// timers is a priority queue of timers, the earliest first.
 type timers struct {
 	list timerHeap
 }
@@ -22,7 +22,7 @@
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
-func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Less(i, j int) bool { return h[i].deadline < h[j].deadline }
 func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 func (h *timerHeap) Push(x any)        { *h = append(*h, x.(timer)) }
 func (h *timerHeap) Pop() any {
@@ -36,18 +36,18 @@
 	heap.Push(&t.list, item)
 }
 
-// due removes and returns a timer that is due.
-func (t *timers) due(now model.Instant) (item timer, ok bool) {
-	if len(t.list) == 0 || t.list[0].at > now {
+// popDue removes and returns a timer whose deadline has passed.
+func (t *timers) popDue(now model.Instant) (item timer, ok bool) {
+	if len(t.list) == 0 || t.list[0].deadline > now {
 		return item, false
 	}
 	return heap.Pop(&t.list).(timer), true
 }
 
-// next returns when the first timer is due.
+// next returns the earliest deadline; ok is false when there are no timers.
 func (t *timers) next() (at model.Instant, ok bool) {
 	if len(t.list) == 0 {
 		return 0, false
 	}
-	return t.list[0].at, true
+	return t.list[0].deadline, true
 }
--- a/internal/core/direct/view.go
+++ b/internal/core/direct/view.go
@@ -7,7 +7,7 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// View returns what this instance believes of each upstream, by name.
+// View returns the state of every upstream as seen by this instance, sorted by ID.
 func (e *Engine) View(now model.Instant) []model.DirectView {
 	views := make([]model.DirectView, 0, len(e.roster.All()))
 	for _, u := range e.roster.All() {
--- a/internal/core/fresh/fresh.go
+++ b/internal/core/fresh/fresh.go
@@ -1,48 +1,48 @@
-// Package fresh decides when knowledge that comes from the platform has to be read again, so that its age stays bounded.
+// Package fresh schedules reads of the platform's state so that the staleness of an instance's copy stays bounded.
 package fresh
 
 import "time"
 
 const (
-	// readsPerBound is how many reads fall into the time in which a change must be in force: one may be lost, one may be slow.
-	readsPerBound = 3
-	// retryPause is the time from a failed read to the next; seven instances then make 35 calls a second of the 2,000 allowed.
-	retryPause = 200 * time.Millisecond
-	// timeoutFloor is above the answer of a store that is fifty times slower than its 4 ms.
-	timeoutFloor = 600 * time.Millisecond
-	// timeoutCeiling lets a store answer that is slower still.
-	timeoutCeiling = 2400 * time.Millisecond
-	// timeoutGrowth lengthens the patience after each read that failed.
+	// readsPerStalenessBound is how many reads are made within the staleness bound, so that one may fail and another may be slow.
+	readsPerStalenessBound = 3
+	// retryDelay is the delay after a failed read; with seven instances reading, retries make 35 of the 2,000 calls allowed per second.
+	retryDelay = 200 * time.Millisecond
+	// minTimeout is the timeout after a successful read; it also covers a store that is fifty times slower than its usual 4 ms.
+	minTimeout = 600 * time.Millisecond
+	// maxTimeout bounds the timeout after repeated failures, for a store that is even slower.
+	maxTimeout = 2400 * time.Millisecond
+	// timeoutGrowth multiplies the timeout after each failed read.
 	timeoutGrowth = 2
 )
 
-// Pacer is the rhythm of reads of one process.
+// Pacer determines the interval and the timeout of the reads of one process.
 type Pacer struct {
-	// MaxStaleness is the time in which a change must be in force.
+	// MaxStaleness is the time within which a change must take effect.
 	MaxStaleness time.Duration
-	// failures counts the reads in a row that failed.
+	// failures counts consecutive failed reads.
 	failures int
 }
 
-// Interval returns the time between two reads while the store answers.
+// Interval returns the time from the start of one read to the start of the next while the store responds.
 func (p *Pacer) Interval() time.Duration {
-	return p.MaxStaleness / readsPerBound
+	return p.MaxStaleness / readsPerStalenessBound
 }
 
-// Timeout returns how long the next read may take.
+// Timeout returns the timeout of the next read.
 func (p *Pacer) Timeout() time.Duration {
-	t := timeoutFloor
+	t := minTimeout
 	for range p.failures {
-		t = min(t*timeoutGrowth, timeoutCeiling)
+		t = min(t*timeoutGrowth, maxTimeout)
 	}
 	return t
 }
 
-// FinishRead notes the outcome of a read that took so long; it returns the pause before the next.
+// FinishRead records the outcome of a read and its duration; it returns the delay before the next read.
 func (p *Pacer) FinishRead(ok bool, took time.Duration) time.Duration {
 	if !ok {
 		p.failures++
-		return retryPause
+		return retryDelay
 	}
 	p.failures = 0
 	return max(p.Interval()-took, 0)
--- /dev/null
+++ b/internal/core/fresh/outage.go
@@ -0,0 +1,48 @@
+package fresh
+
+import (
+	"time"
+
+	"hawthorncourse/internal/core/model"
+)
+
+// gapSlack is how much longer than the read interval the time between two confirmations may be; a longer gap means that the store was
+// unavailable.
+const gapSlack = 300 * time.Millisecond
+
+// OutageTracker decides whether a missing registry entry means that its upstream has ended. Entries expire while the store is unavailable,
+// so an instance that missed confirmations, directly or through its reader, cannot tell for a grace period afterwards.
+type OutageTracker struct {
+	// MaxGap is the longest time between two confirmations that does not count as an outage.
+	MaxGap time.Duration
+	// Grace is how long after an outage upstreams may re-create their entries.
+	Grace time.Duration
+	// confirmedAt is when the store last confirmed the instance's data; zero before the first confirmation.
+	confirmedAt model.Instant
+	// graceUntil is when the grace period ends, before which a missing entry is not conclusive.
+	graceUntil model.Instant
+}
+
+// NewOutageTracker returns a tracker for an instance that has received no confirmation yet.
+func NewOutageTracker(maxStaleness, grace time.Duration) *OutageTracker {
+	t := &OutageTracker{Grace: grace}
+	t.SetMaxStaleness(maxStaleness)
+	return t
+}
+
+// SetMaxStaleness replaces the time within which a change must take effect, from which MaxGap follows.
+func (t *OutageTracker) SetMaxStaleness(maxStaleness time.Duration) {
+	p := Pacer{MaxStaleness: maxStaleness}
+	t.MaxGap = p.Interval() + gapSlack
+}
+
+// Confirm records that the store confirmed the instance's data at the given time; peerGrace is what remains of the grace period of the
+// instance that relayed the confirmation, if any. It returns the remaining grace period of this instance, zero if there is none.
+func (t *OutageTracker) Confirm(now, at model.Instant, peerGrace time.Duration) time.Duration {
+	if t.confirmedAt == 0 || at.Sub(t.confirmedAt) > t.MaxGap {
+		t.graceUntil = max(t.graceUntil, now.Add(t.Grace))
+	}
+	t.confirmedAt = max(t.confirmedAt, at, 1)
+	t.graceUntil = max(t.graceUntil, now.Add(peerGrace))
+	return max(t.graceUntil.Sub(now), 0)
+}
--- /dev/null
+++ b/internal/core/fresh/scheduler.go
@@ -0,0 +1,185 @@
+package fresh
+
+import (
+	"math"
+	"time"
+
+	"hawthorncourse/internal/core/model"
+)
+
+// Step is the next action of an instance to refresh its copy of the platform's state.
+type Step uint8
+
+// The steps.
+const (
+	// StepReadStore reads the platform's store.
+	StepReadStore Step = iota + 1
+	// StepPollReader waits for the next update from the reader of the failure domain.
+	StepPollReader
+	// StepClaimRole tries to become the reader of the failure domain by a conditional write.
+	StepClaimRole
+)
+
+var stepNames = map[Step]string{StepReadStore: "store", StepPollReader: "reader", StepClaimRole: "claim"}
+
+// String returns the name of the step.
+func (s Step) String() string {
+	return stepNames[s]
+}
+
+const (
+	// readerPollSlack is how much longer than a read interval a poll of the reader may take before it counts as failed.
+	readerPollSlack = 400 * time.Millisecond
+	// maxAgeIntervals is the age, in read intervals, above which the reader's data counts as outdated.
+	maxAgeIntervals = 2
+	// maxClaimDelay is how long the instance with the slowest link waits before it claims the vacant reader role.
+	maxClaimDelay = 600 * time.Millisecond
+	// fullSpeedMbps is the link speed in Mbit/s from which on an instance claims the reader role without delay.
+	fullSpeedMbps = 1000.0
+	// claimRetryDelay is the delay before the reader role is claimed again after a claim without an answer.
+	claimRetryDelay = time.Second
+)
+
+// Scheduler decides whether an instance next reads the platform's store, polls the reader of its failure domain or claims the reader role.
+// One instance per failure domain, the reader, reads the store and sends updates to the others, so that the number of calls to the store
+// does not grow with the number of instances. The reader is named by a record in the store. An instance that finds the reader unresponsive
+// or outdated reads the store itself and claims the role. Two readers at the same time cost additional calls but do no harm.
+type Scheduler struct {
+	self  model.InstanceID
+	pacer Pacer
+	// record is the reader record as last read; recordRead is set once it has been read.
+	record     model.ReaderRecord
+	recordRead bool
+	// failedRevision is the revision of the record whose reader was found unresponsive or outdated.
+	failedRevision model.Revision
+	// storeNext is set while the store has to be read instead of polling the reader.
+	storeNext bool
+	// claimFailedAt is when the last claim without an answer ended; zero if the last claim was answered.
+	claimFailedAt model.Instant
+	// claimDelay is how long a vacant role is left to instances with faster links. vacantSince is when the role was found vacant; zero
+	// while it is held.
+	claimDelay  time.Duration
+	vacantSince model.Instant
+	// nextAt is the earliest time of the next step.
+	nextAt model.Instant
+}
+
+// SchedulerConfig configures a Scheduler.
+type SchedulerConfig struct {
+	// Self is the ID of this instance.
+	Self model.InstanceID
+	// MaxStaleness is the time within which a change must take effect.
+	MaxStaleness time.Duration
+	// LinkMbps is the speed of the instance's own link in Mbit/s; the instance with the fastest link should be the reader.
+	LinkMbps float64
+}
+
+// NewScheduler returns a scheduler whose first step is to read the store.
+func NewScheduler(cfg SchedulerConfig) *Scheduler {
+	return &Scheduler{self: cfg.Self, pacer: Pacer{MaxStaleness: cfg.MaxStaleness}, claimDelay: claimDelay(cfg.LinkMbps)}
+}
+
+// claimDelay returns how long an instance waits before it claims a vacant role. Instances with faster links go first, since the reader
+// sends its updates to all others of the failure domain over its own link.
+func claimDelay(mbps float64) time.Duration {
+	slowness := 1 - math.Log10(min(max(mbps, 1), fullSpeedMbps))/math.Log10(fullSpeedMbps)
+	return time.Duration(slowness * float64(maxClaimDelay))
+}
+
+// SetLinkMbps replaces the speed of the instance's own link in Mbit/s.
+func (s *Scheduler) SetLinkMbps(mbps float64) {
+	s.claimDelay = claimDelay(mbps)
+}
+
+// SetMaxStaleness replaces the time within which a change must take effect; it reports whether it differs from the previous one.
+func (s *Scheduler) SetMaxStaleness(maxStaleness time.Duration) bool {
+	changed := s.pacer.MaxStaleness != maxStaleness
+	s.pacer.MaxStaleness = maxStaleness
+	return changed
+}
+
+// Next returns the next step and how long to wait before it.
+func (s *Scheduler) Next(now model.Instant) (Step, time.Duration) {
+	wait := max(s.nextAt.Sub(now), 0)
+	switch {
+	case !s.recordRead || s.storeNext || s.record.Holder == s.self:
+		return StepReadStore, wait
+	case s.roleVacant():
+		if s.claimFailedAt != 0 && now.Sub(s.claimFailedAt) < claimRetryDelay {
+			return StepReadStore, wait
+		}
+		if left := s.vacantSince.Add(s.claimDelay).Sub(now); s.claimDelay > 0 && left > 0 {
+			return StepReadStore, left
+		}
+		return StepClaimRole, 0
+	default:
+		return StepPollReader, wait
+	}
+}
+
+// roleVacant reports whether the reader role has no holder, or one that was found unresponsive or outdated.
+func (s *Scheduler) roleVacant() bool {
+	return s.record.Holder == "" || s.record.Revision == s.failedRevision
+}
+
+// ReaderRecord returns the reader record as last read.
+func (s *Scheduler) ReaderRecord() model.ReaderRecord {
+	return s.record
+}
+
+// IsReader reports whether this instance is the reader of its failure domain.
+func (s *Scheduler) IsReader() bool {
+	return s.recordRead && s.record.Holder == s.self
+}
+
+// StoreTimeout returns the timeout of a read of the store.
+func (s *Scheduler) StoreTimeout() time.Duration {
+	return s.pacer.Timeout()
+}
+
+// ReaderTimeout returns the timeout of a poll of the reader.
+func (s *Scheduler) ReaderTimeout() time.Duration {
+	return s.pacer.Interval() + readerPollSlack
+}
+
+// MaxAge returns the age above which the reader's data counts as outdated.
+func (s *Scheduler) MaxAge() time.Duration {
+	return maxAgeIntervals * s.pacer.Interval()
+}
+
+// FinishStoreRead records the outcome of a read of the store that began at start.
+func (s *Scheduler) FinishStoreRead(now, start model.Instant, record model.ReaderRecord, ok bool) {
+	s.nextAt = now.Add(s.pacer.FinishRead(ok, now.Sub(start)))
+	if !ok {
+		// The reader may have newer data than this instance can read from a store that does not respond to it.
+		s.storeNext = !s.recordRead || s.roleVacant()
+		return
+	}
+	s.record, s.recordRead, s.storeNext = record, true, false
+	switch {
+	case !s.roleVacant():
+		s.vacantSince = 0
+	case s.vacantSince == 0:
+		s.vacantSince = max(now, 1)
+	}
+}
+
+// FinishReaderPoll records the outcome of a poll of the reader; age is that of the reader's data.
+func (s *Scheduler) FinishReaderPoll(now model.Instant, age time.Duration, ok bool) {
+	s.nextAt = now
+	if ok && age <= s.MaxAge() {
+		return
+	}
+	s.failedRevision, s.storeNext = s.record.Revision, true
+}
+
+// FinishClaim records the outcome of a claim: the current reader record, or ok false if the store did not answer.
+func (s *Scheduler) FinishClaim(now model.Instant, record model.ReaderRecord, ok bool) {
+	s.nextAt = now
+	if !ok {
+		s.claimFailedAt = max(now, 1)
+		s.nextAt = now.Add(retryDelay)
+		return
+	}
+	s.record, s.claimFailedAt, s.vacantSince = record, 0, 0
+}
--- /dev/null
+++ b/internal/core/fresh/scheduler_test.go
@@ -0,0 +1,235 @@
+package fresh_test
+
+import (
+	"net/netip"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"hawthorncourse/internal/core/fresh"
+	"hawthorncourse/internal/core/model"
+)
+
+const maxStaleness = 3 * time.Second
+
+var (
+	mine   = model.ReaderRecord{Domain: "east", Holder: "a", Control: netip.MustParseAddrPort("127.0.0.1:1"), Revision: 4}
+	theirs = model.ReaderRecord{Domain: "east", Holder: "b", Control: netip.MustParseAddrPort("127.0.0.1:2"), Revision: 5}
+	vacant = model.ReaderRecord{Domain: "east"}
+)
+
+// TestNextStep checks the step that follows a sequence of outcomes.
+func TestNextStep(t *testing.T) {
+	cases := map[string]struct {
+		outcomes func(*fresh.Scheduler)
+		want     fresh.Step
+		wait     time.Duration
+	}{
+		"start": {outcomes: func(*fresh.Scheduler) {}, want: fresh.StepReadStore},
+		"store unavailable at start": {
+			outcomes: func(s *fresh.Scheduler) { s.FinishStoreRead(0, 0, model.ReaderRecord{}, false) },
+			want:     fresh.StepReadStore, wait: 200 * time.Millisecond,
+		},
+		"domain without reader": {
+			outcomes: func(s *fresh.Scheduler) { s.FinishStoreRead(0, 0, vacant, true) },
+			want:     fresh.StepClaimRole,
+		},
+		"this instance is the reader": {
+			outcomes: func(s *fresh.Scheduler) { s.FinishStoreRead(0, 0, mine, true) },
+			want:     fresh.StepReadStore, wait: time.Second,
+		},
+		"another instance is the reader": {
+			outcomes: func(s *fresh.Scheduler) { s.FinishStoreRead(0, 0, theirs, true); s.FinishReaderPoll(0, 0, true) },
+			want:     fresh.StepPollReader,
+		},
+		"reader unresponsive": {
+			outcomes: func(s *fresh.Scheduler) { s.FinishStoreRead(0, 0, theirs, true); s.FinishReaderPoll(0, 0, false) },
+			want:     fresh.StepReadStore,
+		},
+		"reader outdated": {
+			outcomes: func(s *fresh.Scheduler) {
+				s.FinishStoreRead(0, 0, theirs, true)
+				s.FinishReaderPoll(0, 2100*time.Millisecond, true)
+			},
+			want: fresh.StepReadStore,
+		},
+		"reader unresponsive and still on record": {
+			outcomes: func(s *fresh.Scheduler) {
+				s.FinishStoreRead(0, 0, theirs, true)
+				s.FinishReaderPoll(0, 0, false)
+				s.FinishStoreRead(0, 0, theirs, true)
+			},
+			want: fresh.StepClaimRole,
+		},
+		"reader unresponsive and replaced by another instance": {
+			outcomes: func(s *fresh.Scheduler) {
+				next := theirs
+				next.Holder, next.Revision = "c", 6
+				s.FinishStoreRead(0, 0, theirs, true)
+				s.FinishReaderPoll(0, 0, false)
+				s.FinishStoreRead(0, 0, next, true)
+				s.FinishReaderPoll(0, 0, true)
+			},
+			want: fresh.StepPollReader,
+		},
+		"another instance claimed first": {
+			outcomes: func(s *fresh.Scheduler) { s.FinishStoreRead(0, 0, vacant, true); s.FinishClaim(0, theirs, true) },
+			want:     fresh.StepPollReader,
+		},
+		"claim not answered": {
+			outcomes: func(s *fresh.Scheduler) {
+				s.FinishStoreRead(0, 0, vacant, true)
+				s.FinishClaim(0, model.ReaderRecord{}, false)
+			},
+			want: fresh.StepReadStore, wait: 200 * time.Millisecond,
+		},
+		"this instance was replaced as reader": {
+			outcomes: func(s *fresh.Scheduler) {
+				s.FinishStoreRead(0, 0, mine, true)
+				s.FinishStoreRead(0, 0, theirs, true)
+				s.FinishReaderPoll(0, 0, true)
+			},
+			want: fresh.StepPollReader,
+		},
+		"store unavailable and reader outdated": {
+			outcomes: func(s *fresh.Scheduler) {
+				s.FinishStoreRead(0, 0, theirs, true)
+				s.FinishReaderPoll(0, 3*time.Second, true)
+				s.FinishStoreRead(0, 0, model.ReaderRecord{}, false)
+			},
+			want: fresh.StepReadStore, wait: 200 * time.Millisecond,
+		},
+	}
+	for name, tc := range cases {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			s := fresh.NewScheduler(fresh.SchedulerConfig{Self: "a", MaxStaleness: maxStaleness, LinkMbps: 1000})
+			tc.outcomes(s)
+			step, wait := s.Next(0)
+			is.Equal(step, tc.want)
+			is.Equal(wait, tc.wait)
+		})
+	}
+}
+
+// TestStalenessBound simulates an instance whose reader fails or stalls, and checks that the age of its data never exceeds two thirds of
+// the staleness bound.
+func TestStalenessBound(t *testing.T) {
+	cases := map[string]struct {
+		reader, store func(now model.Instant) bool
+	}{
+		"no fault":              {reader: always, store: always},
+		"reader fails":          {reader: before(5 * time.Second), store: always},
+		"reader is partitioned": {reader: always, store: always},
+		"reader stalls":         {reader: between(5*time.Second, 9*time.Second), store: always},
+	}
+	for name, tc := range cases {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			const tick = 10 * time.Millisecond
+			s := fresh.NewScheduler(fresh.SchedulerConfig{Self: "a", MaxStaleness: maxStaleness, LinkMbps: 1000})
+			confirmedAt, reportedAt := model.Instant(0), model.Instant(0)
+			maxAge := time.Duration(0)
+			record := theirs
+			nextAt := model.Instant(0)
+			for now := model.Instant(0); now < model.Instant(20*time.Second); now = now.Add(tick) {
+				if tc.reader(now) && now%model.Instant(time.Second) == 0 {
+					reportedAt = now
+				}
+				if confirmedAt > 0 {
+					maxAge = max(maxAge, now.Sub(confirmedAt))
+				}
+				if now < nextAt {
+					continue
+				}
+				step, wait := s.Next(now)
+				if wait > 0 {
+					nextAt = now.Add(wait)
+					continue
+				}
+				switch step {
+				case fresh.StepReadStore:
+					s.FinishStoreRead(now, now, record, tc.store(now))
+					confirmedAt = now
+				case fresh.StepPollReader:
+					if reportedAt > confirmedAt {
+						confirmedAt = reportedAt
+						s.FinishReaderPoll(now, now.Sub(reportedAt), true)
+					} else if now.Sub(confirmedAt) > s.ReaderTimeout() {
+						s.FinishReaderPoll(now, 0, false)
+					}
+				case fresh.StepClaimRole:
+					record = mine
+					record.Revision = 9
+					s.FinishClaim(now, record, true)
+				}
+			}
+			is.True(maxAge <= maxStaleness*2/3)
+		})
+	}
+}
+
+func always(model.Instant) bool { return true }
+
+func before(d time.Duration) func(model.Instant) bool {
+	return func(now model.Instant) bool { return now < model.Instant(d) }
+}
+
+func between(from, to time.Duration) func(model.Instant) bool {
+	return func(now model.Instant) bool { return now < model.Instant(from) || now > model.Instant(to) }
+}
+
+// TestPacer checks the interval between reads and the growth of the timeout while the store fails.
+func TestPacer(t *testing.T) {
+	is := is.New(t)
+	p := fresh.Pacer{MaxStaleness: maxStaleness}
+	is.Equal(p.FinishRead(true, 100*time.Millisecond), 900*time.Millisecond)
+	is.Equal(p.FinishRead(true, 2*time.Second), time.Duration(0))
+	var timeouts []time.Duration
+	for range 4 {
+		timeouts = append(timeouts, p.Timeout())
+		is.Equal(p.FinishRead(false, time.Second), 200*time.Millisecond)
+	}
+	is.Equal(timeouts, []time.Duration{600 * time.Millisecond, 1200 * time.Millisecond, 2400 * time.Millisecond, 2400 * time.Millisecond})
+	p.FinishRead(true, 0)
+	is.Equal(p.Timeout(), 600*time.Millisecond)
+}
+
+// TestClaimOrder checks that a vacant reader role goes to the instance with the fastest link, and that slower ones read the store again
+// before they claim it.
+func TestClaimOrder(t *testing.T) {
+	cases := map[string]struct {
+		linkMbps float64
+		want     time.Duration
+	}{
+		"full speed":       {linkMbps: 1000},
+		"above full speed": {linkMbps: 10_000},
+		"100 Mbit/s":       {linkMbps: 100, want: 200 * time.Millisecond},
+		"10 Mbit/s":        {linkMbps: 10, want: 400 * time.Millisecond},
+		"unknown speed":    {linkMbps: 0, want: 600 * time.Millisecond},
+	}
+	for name, tc := range cases {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			s := fresh.NewScheduler(fresh.SchedulerConfig{Self: "a", MaxStaleness: maxStaleness, LinkMbps: tc.linkMbps})
+			now := model.Instant(time.Minute)
+			s.FinishStoreRead(now, now, vacant, true)
+			step, wait := s.Next(now)
+			if tc.want == 0 {
+				is.Equal(step, fresh.StepClaimRole)
+				return
+			}
+			is.Equal(step, fresh.StepReadStore)
+			is.True(wait > tc.want-time.Millisecond && wait < tc.want+time.Millisecond)
+			now = now.Add(wait)
+			s.FinishStoreRead(now, now, theirs, true)
+			step, _ = s.Next(now.Add(time.Second))
+			is.Equal(step, fresh.StepPollReader)
+			s.FinishStoreRead(now, now, vacant, true)
+			now = now.Add(time.Second)
+			step, _ = s.Next(now)
+			is.Equal(step, fresh.StepClaimRole)
+		})
+	}
+}
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -1,4 +1,5 @@
-// Package member decides which instances are alive, by probes in turn and by word passed on.
+// Package member tracks which instances are alive, in the manner of SWIM: instances probe each other, directly and through others, and
+// piggyback membership updates on the probes.
 package member
 
 import (
@@ -11,62 +12,64 @@
 )
 
 const (
-	// spreadFactor times the logarithm of the size is how often one piece of news is passed on.
-	spreadFactor = 3
-	// deadLife is how long a dead instance is remembered and tried again.
-	deadLife = 2 * time.Hour
+	// retransmitFactor times the bit length of the number of instances is how often one update is sent.
+	retransmitFactor = 3
+	// deadRetention is how long a dead instance is remembered and still probed.
+	deadRetention = 2 * time.Hour
 	// probesPerDetection is how many probes one instance sends within the detection time.
 	probesPerDetection = 6
-	// suspectShare is the share of the detection time that a suspect has to contradict.
-	suspectShare = 3
-	// retryDeadEvery is the number of probes after which one goes to a dead instance.
-	retryDeadEvery = 4
+	// suspicionDivisor divides the detection time to give the time within which a suspect must refute its suspicion.
+	suspicionDivisor = 3
+	// deadProbeEvery is the number of probes after which one goes to a dead instance, so that the sides of a healed partition find each
+	// other.
+	deadProbeEvery = 4
 )
 
-// Config is what a List is built from.
+// Config configures a List.
 type Config struct {
-	// Self is this instance, alive.
+	// Self is this instance, in state alive.
 	Self model.Member
-	// Detection is the longest time in which a dead instance is noticed.
+	// Detection is the longest time until a failed instance is detected.
 	Detection time.Duration
-	// Seed feeds the order of probes.
+	// Seed initialises the random order of probes.
 	Seed uint64
 }
 
-// List is what one instance believes of all others.
+// List is the membership as seen by one instance.
 type List struct {
 	cfg   Config
 	rng   *rand.Rand
 	self  model.Member
 	peers map[model.InstanceID]*peer
-	// round holds the instances that are still to be probed in this round.
-	round  []model.InstanceID
-	probes int
-	news   map[model.InstanceID]int
-	// changes counts what changed that others may care for.
-	changes uint64
+	// round holds the instances still to be probed in the current round.
+	round      []model.InstanceID
+	probeCount int
+	// pending counts how often each update still to be disseminated was sent.
+	pending map[model.InstanceID]int
+	// changeCount counts the changes of all members.
+	changeCount uint64
 }
 
 type peer struct {
 	model.Member
-	// since is when the state was entered.
-	since model.Instant
-	// heard is when the peer last spoke to this instance.
-	heard model.Instant
+	// stateSince is when the current state was entered.
+	stateSince model.Instant
+	// lastContact is when this instance last received a message from the peer.
+	lastContact model.Instant
 }
 
-// New returns a list that knows only this instance.
+// New returns a list that contains only this instance.
 func New(cfg Config) *List {
 	return &List{
-		cfg:   cfg,
-		rng:   rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self.Boot))),
-		self:  cfg.Self,
-		peers: map[model.InstanceID]*peer{},
-		news:  map[model.InstanceID]int{cfg.Self.ID: 0},
+		cfg:     cfg,
+		rng:     rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self.Boot))),
+		self:    cfg.Self,
+		peers:   map[model.InstanceID]*peer{},
+		pending: map[model.InstanceID]int{cfg.Self.ID: 0},
 	}
 }
 
-// SetDetection changes the detection time, from which all intervals follow.
+// SetDetection changes the detection time, from which the probe interval and all timeouts follow.
 func (l *List) SetDetection(d time.Duration) {
 	l.cfg.Detection = d
 }
@@ -76,22 +79,22 @@
 	return l.cfg.Detection / probesPerDetection
 }
 
-// ProbeTimeout returns how long one probe waits for its answer.
+// ProbeTimeout returns the timeout of one probe.
 func (l *List) ProbeTimeout() time.Duration {
 	return l.ProbeInterval() / 2
 }
 
-// ChangeCount returns a number that grows with each change of any member.
+// ChangeCount returns a number that increases with each change of any member.
 func (l *List) ChangeCount() uint64 {
-	return l.changes
+	return l.changeCount
 }
 
-// Self returns this instance as others should see it.
+// Self returns this instance as it is announced to others.
 func (l *List) Self() model.Member {
 	return l.self
 }
 
-// Members returns every known instance, this one first.
+// Members returns all known instances, this one first and the others sorted by ID.
 func (l *List) Members() []model.Member {
 	out := make([]model.Member, 0, len(l.peers)+1)
 	out = append(out, l.self)
@@ -107,7 +110,7 @@
 	return out
 }
 
-// Find returns the named instance.
+// Find returns the instance with the given ID, other than this one.
 func (l *List) Find(id model.InstanceID) (model.Member, bool) {
 	p := l.peers[id]
 	if p == nil {
@@ -116,25 +119,26 @@
 	return p.Member, true
 }
 
-// Tick lets suspicions run out and returns the instance to probe now; ok is false for none.
+// Tick declares suspects dead that did not refute in time, forgets dead instances after deadRetention, and returns the instance to probe
+// now; ok is false if there is none.
 func (l *List) Tick(now model.Instant) (target model.Member, ok bool) {
 	for id, p := range l.peers {
-		age := now.Sub(p.since)
+		age := now.Sub(p.stateSince)
 		switch {
-		case p.State == model.MemberSuspect && age >= l.cfg.Detection/suspectShare:
-			l.set(now, p, model.MemberDead)
-		case p.State == model.MemberDead && age >= deadLife:
+		case p.State == model.MemberSuspect && age >= l.cfg.Detection/suspicionDivisor:
+			l.setState(now, p, model.MemberDead)
+		case p.State == model.MemberDead && age >= deadRetention:
 			delete(l.peers, id)
-			delete(l.news, id)
+			delete(l.pending, id)
 		}
 	}
-	l.probes++
-	if l.probes%retryDeadEvery == 0 {
+	l.probeCount++
+	if l.probeCount%deadProbeEvery == 0 {
 		if target, ok = l.randomDead(); ok {
 			return target, true
 		}
 	}
-	return l.next()
+	return l.nextInRound()
 }
 
 func (l *List) randomDead() (model.Member, bool) {
@@ -150,8 +154,8 @@
 	return dead[l.rng.IntN(len(dead))], true
 }
 
-// next returns the next instance of the round, which is shuffled anew when it ends.
-func (l *List) next() (model.Member, bool) {
+// nextInRound returns the next instance of the round. When a round ends, a new one starts in random order.
+func (l *List) nextInRound() (model.Member, bool) {
 	for range 2 {
 		for len(l.round) > 0 {
 			id := l.round[0]
@@ -170,11 +174,11 @@
 	return model.Member{}, false
 }
 
-// RandomLive returns up to n live instances that may probe another.
-func (l *List) RandomLive(n int, not model.InstanceID) []model.Member {
+// RandomLive returns up to n random live instances other than the excluded one, for example to probe that one indirectly.
+func (l *List) RandomLive(n int, exclude model.InstanceID) []model.Member {
 	var live []model.Member
 	for _, p := range l.peers {
-		if p.ID != not && (p.State == model.MemberAlive || p.State == model.MemberLeaving) {
+		if p.ID != exclude && (p.State == model.MemberAlive || p.State == model.MemberLeaving) {
 			live = append(live, p.Member)
 		}
 	}
@@ -188,69 +192,70 @@
 	return live[:min(n, len(live))]
 }
 
-// RecordContact takes note that the instance itself has just answered.
+// RecordContact records that the instance itself answered or sent a message.
 func (l *List) RecordContact(now model.Instant, id model.InstanceID) {
 	if p := l.peers[id]; p != nil {
-		p.heard = now
+		p.lastContact = now
 	}
 }
 
-// Suspect takes note that neither the instance nor any helper for it answered.
+// Suspect marks an instance as suspect after its direct and indirect probes went unanswered.
 func (l *List) Suspect(now model.Instant, id model.InstanceID) {
 	p := l.peers[id]
 	if p != nil && (p.State == model.MemberAlive || p.State == model.MemberLeaving) {
-		l.set(now, p, model.MemberSuspect)
+		l.setState(now, p, model.MemberSuspect)
 	}
 }
 
-// Leave tells everyone that this instance takes no new work.
+// Leave marks this instance as leaving and announces that it takes no new work.
 func (l *List) Leave() {
 	l.self.State = model.MemberLeaving
 	l.self.Incarnation++
-	l.changed(l.self.ID)
+	l.recordChange(l.self.ID)
 }
 
-func (l *List) set(now model.Instant, p *peer, state model.MemberState) {
-	p.State, p.since = state, now
-	l.changed(p.ID)
+func (l *List) setState(now model.Instant, p *peer, state model.MemberState) {
+	p.State, p.stateSince = state, now
+	l.recordChange(p.ID)
 }
 
-func (l *List) changed(id model.InstanceID) {
-	l.changes++
-	l.news[id] = 0
+func (l *List) recordChange(id model.InstanceID) {
+	l.changeCount++
+	l.pending[id] = 0
 }
 
-// Merge merges what another instance says of members.
+// Merge applies the membership updates of another instance.
 func (l *List) Merge(now model.Instant, members []model.Member) {
 	for _, m := range members {
 		if m.ID == l.self.ID {
-			l.contradict(m)
+			l.refute(m)
 			continue
 		}
 		p := l.peers[m.ID]
 		if p == nil {
-			l.peers[m.ID] = &peer{Member: m, since: now}
-			l.changed(m.ID)
+			l.peers[m.ID] = &peer{Member: m, stateSince: now}
+			l.recordChange(m.ID)
 			continue
 		}
-		if newer(m, p.Member) {
-			p.Member, p.since = m, now
-			l.changed(m.ID)
+		if supersedes(m, p.Member) {
+			p.Member, p.stateSince = m, now
+			l.recordChange(m.ID)
 		}
 	}
 }
 
-// contradict answers a report that this instance is worse than it is.
-func (l *List) contradict(m model.Member) {
+// refute overrides a report that this instance is in a worse state than it is, by announcing a higher incarnation.
+func (l *List) refute(m model.Member) {
 	if m.Boot != l.self.Boot || m.Incarnation < l.self.Incarnation || m.State == l.self.State {
 		return
 	}
 	l.self.Incarnation = m.Incarnation + 1
-	l.changed(l.self.ID)
+	l.recordChange(l.self.ID)
 }
 
-// newer reports whether a replaces b: a later start, a later incarnation, or the worse state of the same.
-func newer(a, b model.Member) bool {
+// supersedes reports whether a replaces b: by a later start, a higher incarnation of the same start, or a worse state in the same
+// incarnation.
+func supersedes(a, b model.Member) bool {
 	if a.Boot != b.Boot {
 		return a.Boot > b.Boot
 	}
@@ -260,28 +265,28 @@
 	return a.State > b.State
 }
 
-// NextUpdates returns up to n members whose changes are still to be passed on, the least passed on first.
+// NextUpdates returns up to n members with updates to disseminate, the least sent first, and counts them as sent.
 func (l *List) NextUpdates(n int) []model.Member {
-	ids := make([]model.InstanceID, 0, len(l.news))
-	for id := range l.news {
+	ids := make([]model.InstanceID, 0, len(l.pending))
+	for id := range l.pending {
 		ids = append(ids, id)
 	}
 	slices.SortFunc(ids, func(a, b model.InstanceID) int {
-		if l.news[a] != l.news[b] {
-			return l.news[a] - l.news[b]
+		if l.pending[a] != l.pending[b] {
+			return l.pending[a] - l.pending[b]
 		}
 		if a < b {
 			return -1
 		}
 		return 1
 	})
-	limit := spreadFactor * bits.Len(uint(len(l.peers)+1))
+	limit := retransmitFactor * bits.Len(uint(len(l.peers)+1))
 	out := make([]model.Member, 0, n)
 	for _, id := range ids[:min(n, len(ids))] {
 		out = append(out, l.lookup(id))
-		l.news[id]++
-		if l.news[id] >= limit {
-			delete(l.news, id)
+		l.pending[id]++
+		if l.pending[id] >= limit {
+			delete(l.pending, id)
 		}
 	}
 	return out
@@ -294,7 +299,8 @@
 	return l.peers[id].Member
 }
 
-// DomainDown reports whether no instance of the domain has been heard of as live.
+// DomainDown reports whether every known instance of another failure domain is dead, or none is known. It is false for the own failure
+// domain.
 func (l *List) DomainDown(domain model.DomainID) bool {
 	if l.self.Domain == domain {
 		return false
