--- a/internal/peer/links/links.go
+++ b/internal/peer/links/links.go
@@ -1,4 +1,4 @@
-// Package links keeps the connections of calls between instances.
+// Package links pools the net/rpc connections between instances and counts their traffic.
 package links
 
 import (
@@ -16,45 +16,47 @@
 )
 
 const (
-	linkLimit   = 64
+	maxClients  = 64
 	dialTimeout = time.Second
 )
 
-// ErrTimeout means that a peer did not answer in time.
-var ErrTimeout = eris.New("peer did not answer in time")
+// ErrTimeout is returned by Call if the peer does not reply within the timeout.
+var ErrTimeout = eris.New("peer did not reply before the call timed out")
 
-// Pool keeps a connection to each peer that was called lately.
+// Pool is a client pool with one connection per peer, opened by the first call. It is safe for concurrent use.
 type Pool struct {
 	dialer  net.Dialer
 	in, out tally.Counter
-	// failed counts connections that could not be accepted.
-	failed tally.Counter
+	// acceptFailed counts failed calls of Accept.
+	acceptFailed tally.Counter
 
 	mu sync.Mutex
-	// clients is guarded by mu and holds at most linkLimit.
+	// clients holds at most maxClients entries and is guarded by mu.
 	clients map[netip.AddrPort]*rpc.Client
 }
 
-// New returns links that call from the local address; counters begin with the name.
+// New returns an empty pool. Its connections use the IP address of local as their source unless that is unspecified; name is the prefix of
+// its counters.
 func New(name string, local net.Addr, counts *count.Set) *Pool {
-	l := &Pool{
-		in:      counts.Counter(name + ".bytes_in"),
-		out:     counts.Counter(name + ".bytes_out"),
-		failed:  counts.Counter(name + ".accept_failed"),
-		clients: map[netip.AddrPort]*rpc.Client{},
+	p := &Pool{
+		in:           counts.Counter(name + ".bytes_in"),
+		out:          counts.Counter(name + ".bytes_out"),
+		acceptFailed: counts.Counter(name + ".accept_failed"),
+		clients:      map[netip.AddrPort]*rpc.Client{},
 	}
-	l.dialer.Timeout = dialTimeout
+	p.dialer.Timeout = dialTimeout
 	if addr, ok := local.(*net.TCPAddr); ok && !addr.IP.IsUnspecified() {
-		l.dialer.LocalAddr = &net.TCPAddr{IP: addr.IP}
+		p.dialer.LocalAddr = &net.TCPAddr{IP: addr.IP}
 	}
-	return l
+	return p
 }
 
-// Call calls a method of the peer and gives up after the time.
-func (l *Pool) Call(ctx context.Context, addr netip.AddrPort, method string, args, reply any, patience time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// Call invokes an RPC method of the peer at addr, opening a connection if there is none. The timeout covers both. After an error, including
+// one returned by the method itself, the connection is closed.
+func (p *Pool) Call(ctx context.Context, addr netip.AddrPort, method string, args, reply any, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	c, err := l.client(ctx, addr)
+	c, err := p.client(ctx, addr)
 	if err != nil {
 		return err
 	}
@@ -62,74 +64,76 @@
 	select {
 	case <-call.Done:
 		if call.Error != nil {
-			l.drop(addr, c)
+			p.drop(addr, c)
 		}
 		return call.Error
 	case <-ctx.Done():
-		l.drop(addr, c)
+		p.drop(addr, c)
 		return ErrTimeout
 	}
 }
 
-func (l *Pool) client(ctx context.Context, addr netip.AddrPort) (*rpc.Client, error) {
-	l.mu.Lock()
-	c := l.clients[addr]
-	l.mu.Unlock()
+// client returns the connection to addr, and opens one if there is none.
+func (p *Pool) client(ctx context.Context, addr netip.AddrPort) (*rpc.Client, error) {
+	p.mu.Lock()
+	c := p.clients[addr]
+	p.mu.Unlock()
 	if c != nil {
 		return c, nil
 	}
-	conn, err := l.dialer.DialContext(ctx, "tcp", addr.String())
+	conn, err := p.dialer.DialContext(ctx, "tcp", addr.String())
 	if err != nil {
 		return nil, err
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if other := l.clients[addr]; other != nil {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if existing := p.clients[addr]; existing != nil {
 		_ = conn.Close()
-		return other, nil
+		return existing, nil
 	}
-	c = rpc.NewClient(l.CountBytes(conn))
-	if len(l.clients) >= linkLimit {
-		l.evict()
+	c = rpc.NewClient(p.CountBytes(conn))
+	if len(p.clients) >= maxClients {
+		p.evict()
 	}
-	l.clients[addr] = c
+	p.clients[addr] = c
 	return c, nil
 }
 
-// evict closes any one connection.
-func (l *Pool) evict() {
-	for addr, c := range l.clients {
-		delete(l.clients, addr)
+// evict closes an arbitrary connection; l.mu must be held.
+func (p *Pool) evict() {
+	for addr, c := range p.clients {
+		delete(p.clients, addr)
 		_ = c.Close()
 		return
 	}
 }
 
-func (l *Pool) drop(addr netip.AddrPort, c *rpc.Client) {
-	l.mu.Lock()
-	if l.clients[addr] == c {
-		delete(l.clients, addr)
+// drop closes c and removes it from the pool.
+func (p *Pool) drop(addr netip.AddrPort, c *rpc.Client) {
+	p.mu.Lock()
+	if p.clients[addr] == c {
+		delete(p.clients, addr)
 	}
-	l.mu.Unlock()
+	p.mu.Unlock()
 	_ = c.Close()
 }
 
 // Close closes every connection.
-func (l *Pool) Close() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for addr, c := range l.clients {
-		delete(l.clients, addr)
+func (p *Pool) Close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for addr, c := range p.clients {
+		delete(p.clients, addr)
 		_ = c.Close()
 	}
 }
 
-// CountBytes returns a connection whose bytes are counted.
-func (l *Pool) CountBytes(conn net.Conn) net.Conn {
-	return countedConn{Conn: conn, in: l.in, out: l.out}
+// CountBytes wraps conn so that its traffic is counted.
+func (p *Pool) CountBytes(conn net.Conn) net.Conn {
+	return countedConn{Conn: conn, in: p.in, out: p.out}
 }
 
-// countedConn counts the bytes of a connection.
+// countedConn counts the bytes read from and written to a connection.
 type countedConn struct {
 	net.Conn
 	in, out tally.Counter
@@ -147,11 +151,11 @@
 	return n, err
 }
 
-// acceptPause keeps a listener without descriptors from spinning.
-const acceptPause = 10 * time.Millisecond
+// acceptRetryDelay keeps Serve from busy-looping while the process is out of file descriptors.
+const acceptRetryDelay = 10 * time.Millisecond
 
-// Serve answers calls that arrive at the listener until ctx ends; it then closes the listener and every connection.
-func (l *Pool) Serve(ctx context.Context, listener net.Listener, srv *rpc.Server) error {
+// Serve accepts connections and serves RPCs on them until ctx is cancelled; it then closes the listener and the accepted connections.
+func (p *Pool) Serve(ctx context.Context, listener net.Listener, srv *rpc.Server) error {
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
 	for {
@@ -160,11 +164,11 @@
 			return nil
 		}
 		if err != nil {
-			l.failed.Inc(1)
-			time.Sleep(acceptPause)
+			p.acceptFailed.Inc(1)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		counted := l.CountBytes(conn)
+		counted := p.CountBytes(conn)
 		context.AfterFunc(ctx, func() { _ = counted.Close() })
 		go srv.ServeConn(counted)
 	}
--- a/internal/peer/mesh/mesh.go
+++ b/internal/peer/mesh/mesh.go
@@ -1,4 +1,5 @@
-// Package mesh joins the instances: who is alive, which objects are in force, what was heard of upstreams.
+// Package mesh connects the instances: it runs the gossip-based failure detection, replicates configuration objects, and carries
+// observations of upstreams and flow assignments between instances.
 package mesh
 
 import (
@@ -18,118 +19,124 @@
 	"hawthorncourse/internal/peer/links"
 )
 
-// Kind names one of the objects that instances keep alike.
+// Kind identifies an object that is replicated to all instances.
 type Kind uint8
 
-// The kinds of objects.
+// The replicated objects.
 const (
+	// KindDocument is the operators' configuration document.
 	KindDocument Kind = iota
+	// KindKeys holds the binding keys.
 	KindKeys
 	kindCount
 )
 
 const (
-	helperCount = 2
-	newsPerCall = 12
-	pushFan     = 3
-	pullRing    = 16
-	pushRing    = 16
-	pullTimeout = 2 * time.Second
+	// indirectProbes is the number of members asked to probe an instance that did not answer.
+	indirectProbes = 2
+	// updatesPerCall bounds the membership updates in one probe or reply.
+	updatesPerCall = 12
+	// pushFanout is the number of members probed for one Push.
+	pushFanout   = 3
+	pullRingSize = 16
+	pushRingSize = 16
+	callTimeout  = 2 * time.Second
 )
 
-// Host is the instance that the mesh serves; the mesh holds no lock of its own while it calls.
+// Host is the instance that a Mesh belongs to. The Mesh calls it without holding the lock on the membership list, so that its methods may use
+// the Mesh.
 type Host interface {
-	// Object returns the object in force; version zero for none.
+	// Object returns the active version of an object and its body; the version is zero if there is none.
 	Object(kind Kind) (model.Version, []byte)
-	// Offer takes an object that a peer has in force.
+	// Offer receives an object that is active at a peer.
 	Offer(kind Kind, version model.Version, body []byte)
-	// ApplyPeerUpdate takes a peer's letter.
-	ApplyPeerUpdate(l engine.PeerUpdate)
-	// Loads returns how busy this instance is.
+	// ApplyPeerUpdate receives a peer's observations of upstreams.
+	ApplyPeerUpdate(u engine.PeerUpdate)
+	// Loads returns the utilisation of this instance's slots, by service.
 	Loads() []engine.Load
-	// SetPeerLoads takes what a peer says of how busy it is.
+	// SetPeerLoads receives the utilisation of a peer's slots.
 	SetPeerLoads(from model.InstanceID, loads []engine.Load)
-	// AddAssignments takes a peer's word of flows.
-	AddAssignments(copies []engine.FlowAssignment)
-	// MembersChanged takes the members after any change.
+	// AddAssignments receives flow assignments from a peer.
+	AddAssignments(assignments []engine.FlowAssignment)
+	// MembersChanged receives all members, this instance included, after a change of any of them.
 	MembersChanged(members []model.Member)
 }
 
-// Config is what a Mesh is built from.
+// Config configures a Mesh.
 type Config struct {
-	// Listener accepts calls of peers.
+	// Listener accepts RPC connections from peers.
 	Listener net.Listener
-	// Member is what the membership list is built from.
+	// Member configures the membership list.
 	Member member.Config
 	Host   Host
 	Log    logs.Logger
 	Counts *count.Set
-	// Start is the instant zero of the process.
+	// Start is the process start, from which instants are counted.
 	Start time.Time
 }
 
-// Mesh is this instance's part of the mesh.
+// Mesh is the local end of the mesh. It is safe for concurrent use.
 type Mesh struct {
-	cfg   Config
-	links *links.Pool
-	pulls *ring.Ring[pull]
-	push  *ring.Ring[struct{}]
+	cfg          Config
+	links        *links.Pool
+	pullRequests *ring.Ring[pullRequest]
+	pushRequests *ring.Ring[struct{}]
 
-	// reporting keeps reports to the host in order.
-	reporting sync.Mutex
+	// notifyMu serialises calls of MembersChanged, so that the host sees changes in order.
+	notifyMu sync.Mutex
 
 	mu sync.Mutex
-	// list is guarded by mu.
+	// list is the membership list, guarded by mu.
 	list *member.List
-	// told is the change that the host was last told of, guarded by mu.
-	told uint64
+	// notified is the list's change count at the last MembersChanged, guarded by mu.
+	notified uint64
 }
 
-// New returns a mesh that knows nobody yet.
+// New returns a mesh whose only member is this instance.
 func New(cfg Config) *Mesh {
 	return &Mesh{
-		cfg:   cfg,
-		links: links.New("mesh", cfg.Listener.Addr(), cfg.Counts),
-		pulls: ring.New[pull](pullRing),
-		push:  ring.New[struct{}](pushRing),
-		list:  member.New(cfg.Member),
+		cfg:          cfg,
+		links:        links.New("mesh", cfg.Listener.Addr(), cfg.Counts),
+		pullRequests: ring.New[pullRequest](pullRingSize),
+		pushRequests: ring.New[struct{}](pushRingSize),
+		list:         member.New(cfg.Member),
 	}
 }
 
-// Run serves peers and probes them until the context ends.
+// Run serves and probes peers until ctx is cancelled.
 func (m *Mesh) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return m.serve(ctx) })
 	g.Go(func() error { return m.probe(ctx) })
-	g.Go(func() error { return m.pullAll(ctx) })
-	g.Go(func() error { return m.pushAll(ctx) })
+	g.Go(func() error { return m.servePulls(ctx) })
+	g.Go(func() error { return m.servePushes(ctx) })
 	err := g.Wait()
 	m.links.Close()
 	return err
 }
 
-// SetDetection changes the detection time.
+// SetDetection sets the time within which a dead instance is detected.
 func (m *Mesh) SetDetection(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.list.SetDetection(d)
 }
 
-// Members returns every known instance.
+// Members returns all known instances, this one first.
 func (m *Mesh) Members() []model.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.list.Members()
 }
 
-// DomainDown reports whether no instance of the domain is believed to live.
+// DomainDown reports whether no live instance of the domain is known.
 func (m *Mesh) DomainDown(domain model.DomainID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.list.DomainDown(domain)
 }
 
-// Leave tells the peers that this instance stops.
+// Leave announces to the peers that this instance is shutting down.
 func (m *Mesh) Leave() {
 	m.mu.Lock()
 	m.list.Leave()
@@ -137,23 +144,24 @@
 	m.Push()
 }
 
-// SendPeerUpdate sends a letter to a peer.
-func (m *Mesh) SendPeerUpdate(ctx context.Context, l engine.PeerUpdate) error {
-	return m.callPeer(ctx, l.Peer, "Tell", letterToWire(l))
+// SendPeerUpdate sends observations of upstreams to the update's peer.
+func (m *Mesh) SendPeerUpdate(ctx context.Context, u engine.PeerUpdate) error {
+	return m.callPeer(ctx, u.Peer, "Tell", peerUpdateToWire(u))
 }
 
-// SendAssignments tells a peer where flows sit.
-func (m *Mesh) SendAssignments(ctx context.Context, peer model.InstanceID, copies []engine.FlowAssignment) error {
-	return m.callPeer(ctx, peer, "Copy", copiesToWire(copies))
+// SendAssignments sends flow assignments to a peer.
+func (m *Mesh) SendAssignments(ctx context.Context, peer model.InstanceID, assignments []engine.FlowAssignment) error {
+	return m.callPeer(ctx, peer, "Copy", assignmentsToWire(assignments))
 }
 
+// callPeer calls a method that returns no data.
 func (m *Mesh) callPeer(ctx context.Context, id model.InstanceID, method string, args any) error {
 	peer, known := m.find(id)
 	if !known {
 		return errUnknownPeer
 	}
 	var done Done
-	return m.links.Call(ctx, peer.Control, serviceName+"."+method, args, &done, pullTimeout)
+	return m.links.Call(ctx, peer.Control, serviceName+"."+method, args, &done, callTimeout)
 }
 
 func (m *Mesh) find(id model.InstanceID) (model.Member, bool) {
--- a/internal/peer/mesh/pull.go
+++ b/internal/peer/mesh/pull.go
@@ -6,16 +6,18 @@
 	"hawthorncourse/internal/core/model"
 )
 
-type pull struct {
+// pullRequest asks servePulls to fetch an object from a peer.
+type pullRequest struct {
 	kind Kind
 	from model.Member
 }
 
-// Push tells some peers at once what is new here.
+// Push makes the mesh probe a few peers immediately, so that they learn of changes without waiting for their turn.
 func (m *Mesh) Push() {
-	m.push.Offer(struct{}{})
+	m.pushRequests.Offer(struct{}{})
 }
 
+// versions returns the versions of the active objects, by kind.
 func (m *Mesh) versions() (v [kindCount]uint64) {
 	for kind := range kindCount {
 		version, _ := m.cfg.Host.Object(kind)
@@ -24,31 +26,33 @@
 	return v
 }
 
-// compare asks for each object that a peer has at a higher version.
-func (m *Mesh) compare(from model.Member, versions [kindCount]uint64) {
+// requestNewer queues a pull for each object that a peer has at a higher version.
+func (m *Mesh) requestNewer(from model.Member, versions [kindCount]uint64) {
 	for kind := range kindCount {
 		have, _ := m.cfg.Host.Object(kind)
-		if versions[kind] > uint64(have) && !m.pulls.Offer(pull{kind: kind, from: from}) {
+		if versions[kind] > uint64(have) && !m.pullRequests.Offer(pullRequest{kind: kind, from: from}) {
 			m.cfg.Counts.Counter("mesh.pull_ring_full").Inc(1)
 		}
 	}
 }
 
-func (m *Mesh) pullAll(ctx context.Context) error {
+// servePulls fetches the requested objects one after the other.
+func (m *Mesh) servePulls(ctx context.Context) error {
 	for {
-		p, ok := m.pulls.Take(ctx)
+		p, ok := m.pullRequests.Take(ctx)
 		if !ok {
 			return nil
 		}
-		m.pullOne(ctx, p)
+		m.pull(ctx, p)
 	}
 }
 
-func (m *Mesh) pullOne(ctx context.Context, p pull) {
+// pull fetches an object and offers it to the host if it is newer than the host's.
+func (m *Mesh) pull(ctx context.Context, p pullRequest) {
 	have, _ := m.cfg.Host.Object(p.kind)
 	var reply PullReply
 	args := PullArgs{Kind: uint8(p.kind), Above: uint64(have)}
-	if err := m.links.Call(ctx, p.from.Control, serviceName+".Pull", args, &reply, pullTimeout); err != nil {
+	if err := m.links.Call(ctx, p.from.Control, serviceName+".Pull", args, &reply, callTimeout); err != nil {
 		m.cfg.Counts.Counter("mesh.pull_failed").Inc(1)
 		return
 	}
@@ -57,14 +61,14 @@
 	}
 }
 
-// pushAll probes a few instances out of turn when there is something new.
-func (m *Mesh) pushAll(ctx context.Context) error {
+// servePushes probes pushFanout random live members for each Push.
+func (m *Mesh) servePushes(ctx context.Context) error {
 	for {
-		if _, ok := m.push.Take(ctx); !ok {
+		if _, ok := m.pushRequests.Take(ctx); !ok {
 			return nil
 		}
 		m.mu.Lock()
-		targets := m.list.RandomLive(pushFan, "")
+		targets := m.list.RandomLive(pushFanout, "")
 		m.mu.Unlock()
 		for _, target := range targets {
 			go func() {
--- a/internal/peer/mesh/serve.go
+++ b/internal/peer/mesh/serve.go
@@ -11,13 +11,12 @@
 
 const serviceName = "Mesh"
 
-// The errors of calls.
 var (
-	errUnknownPeer = eris.New("peer is not known")
+	errUnknownPeer = eris.New("peer is not a member of the mesh")
 	errUnknownKind = eris.New("kind of object is not known")
 )
 
-// calls holds the methods that peers call.
+// calls is the net/rpc receiver: its exported methods are what peers call.
 type calls struct {
 	m *Mesh
 }
@@ -30,7 +29,7 @@
 	return m.links.Serve(ctx, m.cfg.Listener, srv)
 }
 
-// Ping answers a probe.
+// Ping answers a probe. The reply holds membership updates, loads and object versions, like the probe itself.
 func (c *calls) Ping(args PingArgs, reply *PingReply) error {
 	m := c.m
 	from := fromWireAll([]Member{args.From})
@@ -38,19 +37,20 @@
 	m.list.Merge(m.now(), from)
 	m.list.Merge(m.now(), fromWireAll(args.News))
 	m.list.RecordContact(m.now(), model.InstanceID(args.From.ID))
-	reply.News = toWireAll(append(m.list.NextUpdates(newsPerCall), m.mine(args.From)...))
+	reply.News = toWireAll(append(m.list.NextUpdates(updatesPerCall), m.selfAndSender(args.From)...))
 	m.mu.Unlock()
 	reply.Versions, reply.Loads = m.versions(), loadsToWire(m.cfg.Host.Loads())
 	m.cfg.Host.SetPeerLoads(model.InstanceID(args.From.ID), loadsFromWire(args.Loads))
-	m.report()
+	m.notifyHost()
 	for _, peer := range from {
-		m.compare(peer, args.Versions)
+		m.requestNewer(peer, args.Versions)
 	}
 	return nil
 }
 
-// mine returns this instance, and the caller if it is believed to be worse than it says.
-func (m *Mesh) mine(from Member) []model.Member {
+// selfAndSender returns this instance, and the sender if its state here differs from the one that it reports: a sender that is suspected or
+// considered dead can refute that. m.mu must be held.
+func (m *Mesh) selfAndSender(from Member) []model.Member {
 	out := []model.Member{m.list.Self()}
 	if known, ok := m.list.Find(model.InstanceID(from.ID)); ok && known.State != model.MemberState(from.State) {
 		out = append(out, known)
@@ -58,7 +58,7 @@
 	return out
 }
 
-// Help probes another instance for the caller.
+// Help probes another instance on behalf of the caller (an indirect probe).
 func (c *calls) Help(args HelpArgs, reply *HelpReply) error {
 	targets := fromWireAll([]Member{args.Target})
 	if len(targets) == 1 {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// Pull returns an object that is newer than the caller's.
+// Pull returns an object if its version here is above the caller's.
 func (c *calls) Pull(args PullArgs, reply *PullReply) error {
 	if Kind(args.Kind) >= kindCount {
 		return errUnknownKind
@@ -79,14 +79,14 @@
 	return nil
 }
 
-// Tell takes a letter about upstreams.
+// Tell receives a peer's observations of upstreams.
 func (c *calls) Tell(args TellArgs, _ *Done) error {
-	c.m.cfg.Host.ApplyPeerUpdate(letterFromWire(args))
+	c.m.cfg.Host.ApplyPeerUpdate(peerUpdateFromWire(args))
 	return nil
 }
 
-// Copy takes word of flows.
+// Copy receives flow assignments.
 func (c *calls) Copy(args CopyArgs, _ *Done) error {
-	c.m.cfg.Host.AddAssignments(copiesFromWire(args))
+	c.m.cfg.Host.AddAssignments(assignmentsFromWire(args))
 	return nil
 }
--- a/internal/peer/mesh/wire.go
+++ b/internal/peer/mesh/wire.go
@@ -8,7 +8,7 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// Member is one instance on the wire.
+// Member is a model.Member on the wire. State holds a model.MemberState, and Hand the address for handed-off packets.
 type Member struct {
 	ID, Domain    string
 	Boot          uint64
@@ -17,71 +17,79 @@
 	Control, Hand netip.AddrPort
 }
 
-// PingArgs is a probe with word of others.
+// PingArgs is a probe.
 type PingArgs struct {
+	// From is the sender.
 	From Member
+	// News holds membership updates about any instance.
 	News []Member
-	// Versions are those of the objects in force at the sender, by kind.
+	// Versions holds the versions of the sender's active objects, by kind.
 	Versions [kindCount]uint64
-	Loads    []Load
+	// Loads holds the utilisation of the sender's slots.
+	Loads []Load
 }
 
-// Load is how busy an instance's slots of one service are.
+// Load is the utilisation of an instance's slots of one service.
 type Load struct {
 	Service string
-	Busy    float32
+	// Busy is the share of the slots recently in use; it may exceed 1, as waiting requests count too.
+	Busy float32
 }
 
-// PingReply is the answer to a probe.
+// PingReply is the answer to a probe; its fields have the same meaning as those of PingArgs.
 type PingReply struct {
 	News     []Member
 	Versions [kindCount]uint64
 	Loads    []Load
 }
 
-// HelpArgs asks an instance to probe another.
+// HelpArgs asks an instance to probe the target.
 type HelpArgs struct {
 	Target Member
 }
 
-// HelpReply tells whether the target answered.
+// HelpReply reports whether the target answered.
 type HelpReply struct {
 	Answered bool
 }
 
-// PullArgs asks for an object that the sender has at an older version.
+// PullArgs requests the object of a kind if its version is higher than Above.
 type PullArgs struct {
 	Kind  uint8
 	Above uint64
 }
 
-// PullReply is an object, or version zero for none above the asked one.
+// PullReply is the requested object; Version is zero if there is no higher version.
 type PullReply struct {
 	Version uint64
 	Body    []byte
 }
 
-// TellArgs is one letter about upstreams.
+// TellArgs carries observations of upstreams.
 type TellArgs struct {
 	Sightings []Sighting
 }
 
-// Sighting is what is told of one upstream.
+// Sighting is an engine.Observation on the wire: what the sender has observed of one upstream.
 type Sighting struct {
-	Upstream          string
-	Boot              uint64
+	Upstream string
+	// Boot identifies the start of the upstream's process.
+	Boot uint64
+	// BootAge is the time since the sender first saw Boot, and HeardAge the time since an answer of the upstream confirmed it.
 	BootAge, HeardAge time.Duration
-	Guessed           bool
-	Down, Draining    bool
-	Connections       int
+	// Guessed is set if the upstream may have started long before the sender first saw Boot.
+	Guessed bool
+	// Down, Draining and Connections are the last result of the sender's health checks; Connections is the number of open streams.
+	Down, Draining bool
+	Connections    int
 }
 
-// CopyArgs tells where flows sit.
+// CopyArgs carries flow assignments.
 type CopyArgs struct {
 	Flows []Flow
 }
 
-// Flow is the place of one flow.
+// Flow is the upstream that one flow is assigned to.
 type Flow struct {
 	Caller, Service netip.AddrPort
 	Upstream        string
@@ -122,7 +130,7 @@
 	return out
 }
 
-// fromWireAll leaves out what no instance would say.
+// fromWireAll converts members and leaves out those without an ID, with an unknown state or without a control address.
 func fromWireAll(members []Member) []model.Member {
 	out := make([]model.Member, 0, len(members))
 	for _, w := range members {
@@ -135,41 +143,41 @@
 	return out
 }
 
-func letterToWire(l engine.PeerUpdate) TellArgs {
+func peerUpdateToWire(u engine.PeerUpdate) TellArgs {
 	var args TellArgs
-	for _, s := range l.Observations {
+	for _, o := range u.Observations {
 		args.Sightings = append(args.Sightings, Sighting{
-			Upstream:    string(s.Upstream),
-			Boot:        uint64(s.Boot),
-			BootAge:     s.BootAge,
-			HeardAge:    s.ConfirmedAge,
-			Guessed:     s.BootTimeInferred,
-			Down:        s.Health.Down,
-			Draining:    s.Health.Draining,
-			Connections: s.Health.Connections,
+			Upstream:    string(o.Upstream),
+			Boot:        uint64(o.Boot),
+			BootAge:     o.BootAge,
+			HeardAge:    o.ConfirmedAge,
+			Guessed:     o.BootTimeInferred,
+			Down:        o.Health.Down,
+			Draining:    o.Health.Draining,
+			Connections: o.Health.Connections,
 		})
 	}
 	return args
 }
 
-func letterFromWire(args TellArgs) engine.PeerUpdate {
-	var l engine.PeerUpdate
-	for _, s := range args.Sightings {
-		l.Observations = append(l.Observations, engine.Observation{
-			Upstream:         model.UpstreamID(s.Upstream),
-			Boot:             model.BootID(s.Boot),
-			BootAge:          max(s.BootAge, 0),
-			ConfirmedAge:     max(s.HeardAge, 0),
-			BootTimeInferred: s.Guessed,
+func peerUpdateFromWire(args TellArgs) engine.PeerUpdate {
+	var u engine.PeerUpdate
+	for _, o := range args.Sightings {
+		u.Observations = append(u.Observations, engine.Observation{
+			Upstream:         model.UpstreamID(o.Upstream),
+			Boot:             model.BootID(o.Boot),
+			BootAge:          max(o.BootAge, 0),
+			ConfirmedAge:     max(o.HeardAge, 0),
+			BootTimeInferred: o.Guessed,
 			Health: engine.Health{
-				Upstream:    model.UpstreamID(s.Upstream),
-				Down:        s.Down,
-				Draining:    s.Draining,
-				Connections: s.Connections,
+				Upstream:    model.UpstreamID(o.Upstream),
+				Down:        o.Down,
+				Draining:    o.Draining,
+				Connections: o.Connections,
 			},
 		})
 	}
-	return l
+	return u
 }
 
 func loadsToWire(loads []engine.Load) []Load {
@@ -188,15 +196,15 @@
 	return out
 }
 
-func copiesToWire(copies []engine.FlowAssignment) CopyArgs {
+func assignmentsToWire(assignments []engine.FlowAssignment) CopyArgs {
 	var args CopyArgs
-	for _, c := range copies {
-		args.Flows = append(args.Flows, Flow{Caller: c.Flow.Caller, Service: c.Flow.Service, Upstream: string(c.Upstream)})
+	for _, a := range assignments {
+		args.Flows = append(args.Flows, Flow{Caller: a.Flow.Caller, Service: a.Flow.Service, Upstream: string(a.Upstream)})
 	}
 	return args
 }
 
-func copiesFromWire(args CopyArgs) []engine.FlowAssignment {
+func assignmentsFromWire(args CopyArgs) []engine.FlowAssignment {
 	out := make([]engine.FlowAssignment, 0, len(args.Flows))
 	for _, f := range args.Flows {
 		out = append(out, engine.FlowAssignment{
--- a/internal/peer/share/share.go
+++ b/internal/peer/share/share.go
@@ -1,4 +1,6 @@
-// Package share carries what one instance knows from the platform to the others of its failure domain.
+// Package share distributes snapshots of the platform's store within a failure domain. The reader, the instance that reads the store, publishes
+// snapshots; the other instances poll it and get the changes since the snapshot that they have. Suspicions that upstreams or whole failure
+// domains do not answer are distributed the same way.
 package share
 
 import (
@@ -20,79 +22,81 @@
 const (
 	serviceName = "Share"
 	nextMethod  = serviceName + ".Next"
-	// CallMargin is the time that a call may take beyond its wait.
+	// CallMargin is how much longer than the requested wait a poll may take.
 	CallMargin = 200 * time.Millisecond
-	// waitLimit bounds the time that a call waits here, whatever its caller asks.
-	waitLimit = 10 * time.Second
+	// maxWait bounds how long the server holds a poll open, whatever the caller requests.
+	maxWait = 10 * time.Second
 )
 
-// ErrNoSnapshot means that the peer knows nothing yet, or cannot tell all of it now.
-var ErrNoSnapshot = eris.New("peer tells nothing now")
+// ErrNoSnapshot means that the peer has no snapshot yet, or that its rate limit does not allow a full reply now.
+var ErrNoSnapshot = eris.New("peer sent no snapshot: it has none yet or its rate limit is exceeded")
 
-// OrdinalAssigner numbers the instances that ask; it may be called by several of them at once.
+// OrdinalAssigner assigns ordinals to the instances that poll. It must be safe for concurrent use.
 type OrdinalAssigner interface {
-	// Ordinal returns the number of the instance; it is zero for none.
+	// Ordinal returns the ordinal of the instance; it is zero if none is assigned.
 	Ordinal(id model.InstanceID) model.Ordinal
 }
 
-// Config is what a Share is built from.
+// Config configures a Share.
 type Config struct {
-	// Self is this instance.
+	// Self is the ID of this instance.
 	Self model.InstanceID
-	// Listener takes the calls of others.
+	// Listener accepts RPC connections from peers.
 	Listener net.Listener
-	// Ordinals numbers those that ask.
+	// Ordinals assigns ordinals to the instances that poll.
 	Ordinals OrdinalAssigner
-	// LinkMbps is the speed of the instance's own link in Mbit/s; zero for unknown.
+	// LinkMbps is the speed of the instance's own link in Mbit/s; zero if unknown.
 	LinkMbps float64
-	// OnSuspicion takes what another instance found silent.
+	// OnSuspicion is called with each suspicion received from another instance.
 	OnSuspicion func(model.Suspicion)
-	// Counts takes the counters.
+	// Counts holds the counters.
 	Counts *count.Set
 }
 
-// Share answers the calls of others and calls them.
+// Share is both the server that publishes snapshots and the client that polls peers for theirs. It is safe for concurrent use.
 type Share struct {
 	cfg   Config
 	links *links.Pool
-	// wholes bounds the bytes of replies that hold everything, and words the words of doubt.
-	wholes, words *rate.Limiter
+	// fullReplyLimiter bounds the bytes per second of full replies, and suspicionLimiter the broadcasts of suspicions.
+	fullReplyLimiter, suspicionLimiter *rate.Limiter
 
 	mu sync.Mutex
-	// latest, confirmed, unsure and told are guarded by mu.
+	// The fields below are guarded by mu.
+
+	// latest is the last published snapshot.
 	latest model.Snapshot
-	// digest is that of latest.
+	// digest is that of latest; zero before the first snapshot.
 	digest uint64
 	// confirmed is when the store confirmed latest.
 	confirmed time.Time
-	// unsure is until when a missing upstream proves nothing.
-	unsure time.Time
-	// steps holds what vanished at each of the last publications, the oldest first; at most stepsKept.
-	steps []step
-	// told is closed and replaced at each confirmation and each word of doubt.
-	told chan struct{}
-	// doubts holds the last words of doubt, and spread is how many there ever were, plus one; both are guarded by mu.
-	doubts []model.Suspicion
-	spread uint64
-	// heard is the number of the last word that each peer has told; guarded by mu.
-	heard map[netip.AddrPort]uint64
+	// graceUntil is the end of the grace period after an outage of the store; until then, missing upstreams may come back.
+	graceUntil time.Time
+	// deltas holds the changes of the last publications, the oldest first; at most maxDeltas.
+	deltas []delta
+	// changed is closed and replaced at each publication and each broadcast of a suspicion.
+	changed chan struct{}
+	// suspicions holds the latest suspicions. suspicionSeq is the sequence number of the last one; it starts at 1, as zero means none.
+	suspicions   []model.Suspicion
+	suspicionSeq uint64
+	// seenSeqs holds the sequence number of the last suspicion received from the peer that was last polled.
+	seenSeqs map[netip.AddrPort]uint64
 }
 
-// New returns a share that serves once it runs.
+// New returns a Share without a snapshot. It does not answer peers before Run is called.
 func New(cfg Config) *Share {
 	return &Share{
-		cfg: cfg, links: links.New("share", cfg.Listener.Addr(), cfg.Counts), wholes: newWholes(cfg.LinkMbps), told: make(chan struct{}),
-		words: rate.NewLimiter(doubtsEach, doubtsEach), spread: 1, heard: map[netip.AddrPort]uint64{},
+		cfg: cfg, links: links.New("share", cfg.Listener.Addr(), cfg.Counts), fullReplyLimiter: newFullReplyLimiter(cfg.LinkMbps), changed: make(chan struct{}),
+		suspicionLimiter: rate.NewLimiter(suspicionRate, suspicionRate), suspicionSeq: 1, seenSeqs: map[netip.AddrPort]uint64{},
 	}
 }
 
-// SetLinkMbps replaces the speed of the instance's own link in Mbit/s.
+// SetLinkMbps replaces the speed of the instance's own link, in Mbit/s.
 func (s *Share) SetLinkMbps(mbps float64) {
-	s.wholes.SetLimit(wholeRate(mbps))
-	s.wholes.SetBurst(int(wholeRate(mbps)))
+	s.fullReplyLimiter.SetLimit(fullReplyRate(mbps))
+	s.fullReplyLimiter.SetBurst(int(fullReplyRate(mbps)))
 }
 
-// Run answers calls until ctx ends.
+// Run answers peers until ctx is cancelled.
 func (s *Share) Run(ctx context.Context) error {
 	srv := rpc.NewServer()
 	if err := srv.RegisterName(serviceName, &calls{share: s, ctx: ctx}); err != nil {
@@ -102,131 +106,133 @@
 	return s.links.Serve(ctx, s.cfg.Listener, srv)
 }
 
-// Publish tells those that wait what this instance knows as of now, less its age.
-func (s *Share) Publish(k model.Snapshot) {
+// Publish replaces the latest snapshot, which the store confirmed snap.Age ago, and answers the polls that wait.
+func (s *Share) Publish(snap model.Snapshot) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	digest := k.Digest()
+	digest := snap.Digest()
 	if digest != s.digest && s.digest != 0 {
-		s.steps = append(s.steps, newStep(&s.latest, &k))
-		s.steps = s.steps[max(len(s.steps)-stepsKept, 0):]
+		s.deltas = append(s.deltas, newDelta(&s.latest, &snap))
+		s.deltas = s.deltas[max(len(s.deltas)-maxDeltas, 0):]
 	}
 	s.digest = digest
-	s.latest, s.confirmed, s.unsure = k, now.Add(-k.Age), now.Add(k.GraceLeft)
-	s.wake()
+	s.latest, s.confirmed, s.graceUntil = snap, now.Add(-snap.Age), now.Add(snap.GraceLeft)
+	s.notifyWaiters()
 }
 
-// wake lets those that wait look again; s.mu is held.
-func (s *Share) wake() {
-	close(s.told)
-	s.told = make(chan struct{})
+// notifyWaiters answers the polls that wait; s.mu must be held.
+func (s *Share) notifyWaiters() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// Poll asks a peer for its next word and returns what is known with it; have is what the caller knows.
-func (s *Share) Poll(ctx context.Context, peer netip.AddrPort, have model.Snapshot, wait time.Duration) (k model.Snapshot, err error) {
+// Poll waits up to wait for the peer's next publication or suspicion. It returns have, the caller's snapshot, with the peer's changes applied.
+func (s *Share) Poll(ctx context.Context, peer netip.AddrPort, have model.Snapshot, wait time.Duration) (snap model.Snapshot, err error) {
 	defer func() {
 		if err != nil {
-			err = eris.Wrapf(err, "ask %s", peer)
+			err = eris.Wrapf(err, "poll %s", peer)
 		}
 	}()
 	var reply NextReply
-	args := NextArgs{From: string(s.cfg.Self), Have: have.Digest(), Wait: int64(wait), Heard: s.heardOf(peer)}
+	args := NextArgs{From: string(s.cfg.Self), Have: have.Digest(), Wait: int64(wait), Heard: s.lastSeenSeq(peer)}
 	if err = s.links.Call(ctx, peer, nextMethod, args, &reply, wait+CallMargin); err != nil {
-		return k, err
+		return snap, err
 	}
-	s.hear(peer, &reply)
+	s.handleSuspicions(peer, &reply)
 	if reply.Revision == 0 {
-		return k, ErrNoSnapshot
+		return snap, ErrNoSnapshot
 	}
 	return merge(have, &reply)
 }
 
-// heardOf returns the number of the last word of doubt that the peer has told.
-func (s *Share) heardOf(peer netip.AddrPort) uint64 {
+// lastSeenSeq returns the sequence number of the last suspicion received from the peer; zero if another peer was polled since.
+func (s *Share) lastSeenSeq(peer netip.AddrPort) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.heard[peer]
+	return s.seenSeqs[peer]
 }
 
-// hear takes the words of doubt in a reply.
-func (s *Share) hear(peer netip.AddrPort, reply *NextReply) {
+// handleSuspicions passes on the suspicions in a reply.
+func (s *Share) handleSuspicions(peer netip.AddrPort, reply *NextReply) {
 	s.mu.Lock()
-	clear(s.heard)
-	s.heard[peer] = reply.Spread
+	clear(s.seenSeqs)
+	s.seenSeqs[peer] = reply.Spread
 	s.mu.Unlock()
-	if d := doubtFromWire(reply.Doubts); !d.Empty() {
-		s.cfg.OnSuspicion(d)
+	if susp := suspicionFromWire(reply.Doubts); !susp.Empty() {
+		s.cfg.OnSuspicion(susp)
 	}
 }
 
-// calls holds the methods that peers call.
+// calls is the net/rpc receiver: its exported methods are what peers call.
 type calls struct {
 	share *Share
 	ctx   context.Context
 }
 
-// Next answers at the next confirmation by the store or the next word of doubt, or with what is known when the wait is over; without a wait, at once.
+// Next is the RPC behind Poll. It replies after the next publication or suspicion, or when args.Wait is over. It replies immediately if the
+// wait is zero or the caller lacks suspicions.
 func (c *calls) Next(args NextArgs, reply *NextReply) error {
 	s := c.share
 	s.mu.Lock()
-	told := s.told
-	behind := args.Heard != 0 && args.Heard < s.spread
+	changed := s.changed
+	pending := args.Heard != 0 && args.Heard < s.suspicionSeq
 	s.mu.Unlock()
-	if args.Wait > 0 && !behind {
-		timer := time.NewTimer(min(time.Duration(args.Wait), waitLimit))
+	if args.Wait > 0 && !pending {
+		timer := time.NewTimer(min(time.Duration(args.Wait), maxWait))
 		defer timer.Stop()
 		select {
-		case <-told:
+		case <-changed:
 		case <-timer.C:
 		case <-c.ctx.Done():
 		}
 	}
-	place := s.cfg.Ordinals.Ordinal(model.InstanceID(args.From))
+	ordinal := s.cfg.Ordinals.Ordinal(model.InstanceID(args.From))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.latest.Revision == 0 {
 		return nil
 	}
 	now := time.Now()
-	k := s.latest
-	k.Age, k.GraceLeft = now.Sub(s.confirmed), max(s.unsure.Sub(now), 0)
-	s.answer(&k, args.Have, reply)
-	reply.Doubts, reply.Spread = s.doubtsSince(args.Heard), s.spread
+	snap := s.latest
+	snap.Age, snap.GraceLeft = now.Sub(s.confirmed), max(s.graceUntil.Sub(now), 0)
+	s.fillReply(&snap, args.Have, reply)
+	reply.Doubts, reply.Spread = s.suspicionsAfter(args.Heard), s.suspicionSeq
 	if reply.Revision != 0 {
-		reply.Index, reply.Of = place.Index, place.Count
+		reply.Index, reply.Of = ordinal.Index, ordinal.Count
 	}
 	return nil
 }
 
-// answer fills a reply with what the caller lacks, which is told by the digest of what it has; s.mu is held.
-func (s *Share) answer(k *model.Snapshot, have uint64, reply *NextReply) {
-	missed, ok := s.since(have)
+// fillReply fills a reply with what the caller lacks, given the digest of its snapshot; s.mu must be held.
+func (s *Share) fillReply(snap *model.Snapshot, have uint64, reply *NextReply) {
+	missing, ok := s.deltaSince(have)
 	switch {
 	case have == s.digest:
-		*reply = toWire(k, scopeNothing, step{})
+		*reply = toWire(snap, scopeNothing, delta{})
 	case ok:
-		*reply = toWire(k, scopeChanges, missed)
-	case s.wholes.AllowN(time.Now(), s.wholeSize(k)):
-		*reply = toWire(k, scopeAll, step{})
+		*reply = toWire(snap, scopeChanges, missing)
+	case s.fullReplyLimiter.AllowN(time.Now(), s.fullReplySize(snap)):
+		*reply = toWire(snap, scopeAll, delta{})
 	default:
-		// An empty reply sends the caller elsewhere: more would arrive late at everybody.
+		// An empty reply makes the caller turn to the store or to another instance. One more full reply would overload the link and delay the
+		// replies to all callers.
 		s.cfg.Counts.Counter("share.wholes_refused").Inc(1)
 	}
 }
 
-// since returns what has changed after a state of knowledge; ok is false when that is not known any more. s.mu is held.
-func (s *Share) since(have uint64) (all step, ok bool) {
-	for _, st := range s.steps {
-		if st.from == have {
-			all, ok = step{}, true
+// deltaSince returns the changes since the snapshot with the given digest; ok is false if they are no longer available. s.mu must be held.
+func (s *Share) deltaSince(have uint64) (merged delta, ok bool) {
+	for _, d := range s.deltas {
+		if d.from == have {
+			merged, ok = delta{}, true
 		}
 		if ok {
-			all.upstreams = append(all.upstreams, st.upstreams...)
-			all.routes = append(all.routes, st.routes...)
-			all.goneUpstreams = append(all.goneUpstreams, st.goneUpstreams...)
-			all.goneRoutes = append(all.goneRoutes, st.goneRoutes...)
+			merged.upstreams = append(merged.upstreams, d.upstreams...)
+			merged.routes = append(merged.routes, d.routes...)
+			merged.deletedUpstreams = append(merged.deletedUpstreams, d.deletedUpstreams...)
+			merged.deletedRoutes = append(merged.deletedRoutes, d.deletedRoutes...)
 		}
 	}
-	return all, ok
+	return merged, ok
 }
--- a/internal/peer/share/share_test.go
+++ b/internal/peer/share/share_test.go
@@ -15,85 +15,85 @@
 	"hawthorncourse/internal/peer/share"
 )
 
-// pair is an instance that reads and one that asks it.
+// pair is a reader and an instance that polls it.
 type pair struct {
 	*is.I
-	ctx           context.Context
-	reader, asker *share.Share
-	// heard takes what each instance hears of doubt.
-	heard    map[model.InstanceID]chan model.Suspicion
-	at       netip.AddrPort
-	counts   *count.Set
-	believed model.Snapshot
+	ctx            context.Context
+	reader, poller *share.Share
+	// suspicions receives the suspicions that each instance gets.
+	suspicions map[model.InstanceID]chan model.Suspicion
+	readerAddr netip.AddrPort
+	counts     *count.Set
+	known      model.Snapshot
 }
 
 func newPair(t *testing.T) *pair {
 	t.Helper()
-	p := &pair{I: is.New(t), counts: count.New(), heard: map[model.InstanceID]chan model.Suspicion{}}
+	p := &pair{I: is.New(t), counts: count.New(), suspicions: map[model.InstanceID]chan model.Suspicion{}}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	t.Cleanup(cancel)
 	p.ctx = ctx
 	start := func(id model.InstanceID, counts *count.Set) (*share.Share, netip.AddrPort) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		p.NoErr(err)
-		s := share.New(share.Config{Self: id, Listener: l, Ordinals: numbers{"asker": {Index: 2, Count: 5}}, Counts: counts, OnSuspicion: p.hear(id)})
+		s := share.New(share.Config{Self: id, Listener: l, Ordinals: ordinals{"asker": {Index: 2, Count: 5}}, Counts: counts, OnSuspicion: p.recordSuspicions(id)})
 		go func() { _ = s.Run(ctx) }()
 		return s, netip.MustParseAddrPort(l.Addr().String())
 	}
-	p.reader, p.at = start("reader", p.counts)
-	p.asker, _ = start("asker", count.New())
+	p.reader, p.readerAddr = start("reader", p.counts)
+	p.poller, _ = start("asker", count.New())
 	return p
 }
 
-// hear returns what an instance does with word of doubt.
-func (p *pair) hear(id model.InstanceID) func(model.Suspicion) {
-	heard := make(chan model.Suspicion, 100)
-	p.heard[id] = heard
-	return func(d model.Suspicion) { heard <- d }
+// recordSuspicions returns the OnSuspicion callback of an instance.
+func (p *pair) recordSuspicions(id model.InstanceID) func(model.Suspicion) {
+	received := make(chan model.Suspicion, 100)
+	p.suspicions[id] = received
+	return func(susp model.Suspicion) { received <- susp }
 }
 
-// numbers holds the number of each instance.
-type numbers map[model.InstanceID]model.Ordinal
+// ordinals is an OrdinalAssigner with fixed ordinals.
+type ordinals map[model.InstanceID]model.Ordinal
 
-// Ordinal implements share.Places.
-func (n numbers) Ordinal(id model.InstanceID) model.Ordinal {
-	return n[id]
+// Ordinal implements share.OrdinalAssigner.
+func (o ordinals) Ordinal(id model.InstanceID) model.Ordinal {
+	return o[id]
 }
 
-func knowledge(rev model.Revision, upstreams, routes int) model.Snapshot {
-	k := model.Snapshot{Revision: rev, Out: []model.DomainID{"east"}}
+func newSnapshot(rev model.Revision, upstreams, routes int) model.Snapshot {
+	snap := model.Snapshot{Revision: rev, Out: []model.DomainID{"east"}}
 	for n := range upstreams {
-		k.Upstreams.Items = append(k.Upstreams.Items, model.Registration{
+		snap.Upstreams.Items = append(snap.Upstreams.Items, model.Registration{
 			ID: model.UpstreamID(fmt.Sprintf("i-%x", n+1)), Number: model.EndpointNumber(n + 1), Revision: 1, Service: "desk", Domain: "east",
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(n >> 8), byte(n)}), 80), Boot: 5, Slots: 2, ColdFor: time.Second, Draining: n%2 == 0,
 		})
 	}
-	k.Routes = model.RouteTable{Version: 3, Revision: 1, FlowIdle: time.Minute, Services: []model.ServiceLimits{{ID: "desk", ColdRate: 1.5, ColdFor: time.Second, Connections: 9}}}
+	snap.Routes = model.RouteTable{Version: 3, Revision: 1, FlowIdle: time.Minute, Services: []model.ServiceLimits{{ID: "desk", ColdRate: 1.5, ColdFor: time.Second, Connections: 9}}}
 	for n := range routes {
-		k.Routes.Routes = append(k.Routes.Routes, model.Route{
+		snap.Routes.Routes = append(snap.Routes.Routes, model.Route{
 			Name: fmt.Sprintf("r-%d", n), Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, 0, byte(n)}), 443), Kind: model.RouteIdempotent,
 			Timeout: time.Second, Targets: []model.Target{{Service: "desk", Weight: 1}},
 		})
 	}
-	return k
+	return snap
 }
 
-// tell publishes knowledge and lets the other ask; it returns the bytes that the answer took.
-func (p *pair) tell(k model.Snapshot) int64 {
+// publishAndPoll publishes a snapshot, polls it and checks that it arrives unchanged. It returns the size of the reply in bytes.
+func (p *pair) publishAndPoll(snap model.Snapshot) int64 {
 	p.Helper()
-	before := p.sent()
-	p.reader.Publish(k)
-	got, err := p.asker.Poll(p.ctx, p.at, p.believed, 0)
+	before := p.bytesSent()
+	p.reader.Publish(snap)
+	got, err := p.poller.Poll(p.ctx, p.readerAddr, p.known, 0)
 	p.NoErr(err)
 	p.Equal(got.Ordinal, model.Ordinal{Index: 2, Count: 5})
-	got.Age, got.GraceLeft, got.Ordinal, k.Age, k.GraceLeft = 0, 0, model.Ordinal{}, 0, 0
-	p.Equal(got, k)
-	p.believed = got
-	return p.sent() - before
+	got.Age, got.GraceLeft, got.Ordinal, snap.Age, snap.GraceLeft = 0, 0, model.Ordinal{}, 0, 0
+	p.Equal(got, snap)
+	p.known = got
+	return p.bytesSent() - before
 }
 
-// sent returns the bytes that the reader has sent; counters are reported twice a second.
-func (p *pair) sent() int64 {
+// bytesSent returns the bytes that the reader has sent. It waits first, as counters are reported twice a second.
+func (p *pair) bytesSent() int64 {
 	time.Sleep(600 * time.Millisecond)
 	for _, total := range p.counts.Totals() {
 		if total.Name == "share.bytes_out" {
@@ -103,123 +103,123 @@
 	return 0
 }
 
-// TestChanges replays a rolling replacement of upstreams and changes of routes: every state arrives whole, and each costs
-// a small part of the first.
+// TestChanges checks that a poll after changes of upstreams and routes returns the complete snapshot, and that its reply is small compared to
+// the first, full one.
 func TestChanges(t *testing.T) {
 	p := newPair(t)
-	all := p.tell(knowledge(10, 150, 40))
+	all := p.publishAndPoll(newSnapshot(10, 150, 40))
 
-	changed := knowledge(11, 150, 40)
+	changed := newSnapshot(11, 150, 40)
 	changed.Upstreams.Items[7].Revision, changed.Upstreams.Items[7].Draining = 11, true
-	p.True(p.tell(changed) < all/10)
+	p.True(p.publishAndPoll(changed) < all/10)
 
-	gone := knowledge(12, 149, 40)
-	gone.Upstreams.Items[7] = changed.Upstreams.Items[7]
-	p.True(p.tell(gone) < all/10)
+	deleted := newSnapshot(12, 149, 40)
+	deleted.Upstreams.Items[7] = changed.Upstreams.Items[7]
+	p.True(p.publishAndPoll(deleted) < all/10)
 
-	routes := knowledge(13, 149, 41)
+	routes := newSnapshot(13, 149, 41)
 	routes.Upstreams.Items[7] = changed.Upstreams.Items[7]
 	routes.Routes.Revision, routes.Routes.Version = 13, 9
 	routes.Routes.Routes = append(routes.Routes.Routes[1:], model.Route{Name: "r-0", Address: routes.Routes.Routes[0].Address, Kind: model.RouteOnce,
 		Targets: []model.Target{{Service: "claims", Weight: 2}}})
-	before := p.believed
+	before := p.known
 	p.reader.Publish(routes)
-	got, err := p.asker.Poll(p.ctx, p.at, before, 0)
+	got, err := p.poller.Poll(p.ctx, p.readerAddr, before, 0)
 	p.NoErr(err)
 	p.Equal(len(got.Routes.Routes), 41)
 	p.Equal(got.Routes.Routes[0], routes.Routes.Routes[40])
-	p.believed = got
+	p.known = got
 
 	same := routes
 	same.Out = nil
 	same.Revision = 14
 	p.reader.Publish(same)
-	got, err = p.asker.Poll(p.ctx, p.at, p.believed, 0)
+	got, err = p.poller.Poll(p.ctx, p.readerAddr, p.known, 0)
 	p.NoErr(err)
 	p.Equal(len(got.Out), 0)
 }
 
-// TestBehind checks that a caller that is too far behind, or knows nothing, gets everything.
+// TestBehind checks that a caller that is too far behind, or has no snapshot, gets a full reply.
 func TestBehind(t *testing.T) {
 	p := newPair(t)
-	_, err := p.asker.Poll(p.ctx, p.at, model.Snapshot{}, 0)
+	_, err := p.poller.Poll(p.ctx, p.readerAddr, model.Snapshot{}, 0)
 	p.True(err != nil)
 	for rev := model.Revision(10); rev < 60; rev++ {
-		p.reader.Publish(knowledge(rev, 20, 3))
+		p.reader.Publish(newSnapshot(rev, 20, 3))
 	}
-	for _, have := range []model.Snapshot{{}, {Revision: 5}, knowledge(12, 3, 1)} {
-		got, err := p.asker.Poll(p.ctx, p.at, have, 0)
+	for _, have := range []model.Snapshot{{}, {Revision: 5}, newSnapshot(12, 3, 1)} {
+		got, err := p.poller.Poll(p.ctx, p.readerAddr, have, 0)
 		p.NoErr(err)
 		p.Equal(got.Revision, model.Revision(59))
 		p.Equal(len(got.Upstreams.Items), 20)
 	}
 }
 
-// TestSameRevision replays two instances that have read different changes beyond the same revision: what the one lacks of the other comes
-// with the next reply.
+// TestSameRevision checks that a poll between instances whose snapshots have the same revision but different contents returns the reader's
+// contents. Snapshots may differ that way, as their parts may hold changes after their revision.
 func TestSameRevision(t *testing.T) {
 	p := newPair(t)
-	asker, reader := knowledge(181, 3, 3), knowledge(181, 2, 3)
-	asker.Routes.Revision, reader.Routes.Revision, reader.Routes.Version = 5, 192, 5
-	reader.Routes.Routes = reader.Routes.Routes[1:]
-	p.reader.Publish(reader)
-	next := reader
+	pollerSnap, readerSnap := newSnapshot(181, 3, 3), newSnapshot(181, 2, 3)
+	pollerSnap.Routes.Revision, readerSnap.Routes.Revision, readerSnap.Routes.Version = 5, 192, 5
+	readerSnap.Routes.Routes = readerSnap.Routes.Routes[1:]
+	p.reader.Publish(readerSnap)
+	next := readerSnap
 	next.Revision, next.OutRevision = 283, 283
 	p.reader.Publish(next)
-	got, err := p.asker.Poll(p.ctx, p.at, asker, 0)
+	got, err := p.poller.Poll(p.ctx, p.readerAddr, pollerSnap, 0)
 	p.NoErr(err)
 	p.Equal(got.Routes, next.Routes)
 	p.Equal(got.Upstreams.Items, next.Upstreams.Items)
 }
 
-// TestWait checks that a caller that waits hears of the next confirmation at once, and how old it is.
+// TestWait checks that a waiting poll returns at the next publication, with the age and the rest of the grace period.
 func TestWait(t *testing.T) {
 	p := newPair(t)
-	k := knowledge(10, 5, 1)
-	p.reader.Publish(k)
+	snap := newSnapshot(10, 5, 1)
+	p.reader.Publish(snap)
 	time.AfterFunc(50*time.Millisecond, func() {
-		k.Age, k.GraceLeft = 20*time.Millisecond, time.Second
-		p.reader.Publish(k)
+		snap.Age, snap.GraceLeft = 20*time.Millisecond, time.Second
+		p.reader.Publish(snap)
 	})
-	began := time.Now()
-	got, err := p.asker.Poll(p.ctx, p.at, k, 5*time.Second)
+	start := time.Now()
+	got, err := p.poller.Poll(p.ctx, p.readerAddr, snap, 5*time.Second)
 	p.NoErr(err)
-	p.True(time.Since(began) < 3*time.Second)
+	p.True(time.Since(start) < 3*time.Second)
 	p.True(got.Age >= 20*time.Millisecond && got.Age < 3*time.Second)
 	p.True(got.GraceLeft > 0 && got.GraceLeft <= time.Second)
 }
 
-// TestDoubt checks that what one instance found silent reaches the reader and, at once, those that wait there, once each.
-func TestDoubt(t *testing.T) {
+// TestSuspicion checks that a suspicion reaches the reader and immediately, exactly once, each instance that polls it.
+func TestSuspicion(t *testing.T) {
 	p := newPair(t)
-	k := knowledge(10, 5, 1)
-	p.reader.Publish(k)
-	ask := func(wait time.Duration) {
-		_, err := p.asker.Poll(p.ctx, p.at, k, wait)
+	snap := newSnapshot(10, 5, 1)
+	p.reader.Publish(snap)
+	poll := func(wait time.Duration) {
+		_, err := p.poller.Poll(p.ctx, p.readerAddr, snap, wait)
 		p.NoErr(err)
 	}
-	ask(0)
-	word := model.Suspicion{Upstreams: []model.UpstreamID{"a", "b"}, Domains: []model.DomainID{"east"}}
-	time.AfterFunc(50*time.Millisecond, func() { p.NoErr(p.asker.SendSuspicion(p.ctx, p.at, word)) })
-	began := time.Now()
-	ask(5 * time.Second)
-	p.True(time.Since(began) < 3*time.Second)
-	p.Equal(<-p.heard["reader"], word)
-	p.Equal(<-p.heard["asker"], word)
-
-	// What comes while nobody waits is told with the next question, which does not wait.
+	poll(0)
+	suspicion := model.Suspicion{Upstreams: []model.UpstreamID{"a", "b"}, Domains: []model.DomainID{"east"}}
+	time.AfterFunc(50*time.Millisecond, func() { p.NoErr(p.poller.SendSuspicion(p.ctx, p.readerAddr, suspicion)) })
+	start := time.Now()
+	poll(5 * time.Second)
+	p.True(time.Since(start) < 3*time.Second)
+	p.Equal(<-p.suspicions["reader"], suspicion)
+	p.Equal(<-p.suspicions["asker"], suspicion)
+
+	// Suspicions without a waiting poll come with the next poll, which does not wait.
 	for range 3 {
 		p.reader.BroadcastSuspicion(model.Suspicion{Upstreams: []model.UpstreamID{"c"}})
 	}
-	ask(5 * time.Second)
-	p.Equal(<-p.heard["asker"], model.Suspicion{Upstreams: []model.UpstreamID{"c", "c", "c"}})
-	ask(0)
-	p.Equal(len(p.heard["asker"]), 0)
+	poll(5 * time.Second)
+	p.Equal(<-p.suspicions["asker"], model.Suspicion{Upstreams: []model.UpstreamID{"c", "c", "c"}})
+	poll(0)
+	p.Equal(len(p.suspicions["asker"]), 0)
 
-	// A flood is bounded.
+	// The broadcast rate is limited.
 	for range 1000 {
-		p.reader.BroadcastSuspicion(word)
+		p.reader.BroadcastSuspicion(suspicion)
 	}
-	ask(0)
-	p.True(len((<-p.heard["asker"]).Domains) <= 20)
+	poll(0)
+	p.True(len((<-p.suspicions["asker"]).Domains) <= 20)
 }
--- a/internal/peer/share/wire.go
+++ b/internal/peer/share/wire.go
@@ -7,53 +7,62 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// NextArgs asks for the next word of a peer.
+// NextArgs are the arguments of a poll.
 type NextArgs struct {
-	// From is the name of the caller.
+	// From is the ID of the caller.
 	From string
-	// Have is the digest of what the caller knows.
+	// Have is the digest of the caller's snapshot; zero if it has none.
 	Have uint64
-	// Wait is in nanoseconds.
+	// Wait is the maximum wait, in nanoseconds.
 	Wait int64
-	// Heard is the number of the last word of doubt that the caller has from this peer; zero for none.
+	// Heard is the sequence number of the last suspicion that the caller received from this peer; zero for none.
 	Heard uint64
 }
 
-// scope is how much of a peer's knowledge a reply holds.
+// scope says how much of the snapshot a reply holds.
 type scope uint8
 
 const (
-	// scopeNothing says that what the caller has is still the newest.
+	// scopeNothing is a reply to a caller whose snapshot is current.
 	scopeNothing scope = iota + 1
-	// scopeChanges holds what has changed since.
+	// scopeChanges is a reply with the changes since the caller's snapshot.
 	scopeChanges
-	// scopeAll holds everything.
+	// scopeAll is a full reply.
 	scopeAll
 )
 
-// NextReply is what a peer knows, as far as the caller lacks it; Age and Unsure are in nanoseconds.
+// NextReply is the reply to a poll. It holds what the caller lacks of the peer's snapshot, according to Scope; an empty reply holds no
+// snapshot at all.
 type NextReply struct {
+	// Revision is that of the snapshot; zero in an empty reply.
 	Revision uint64
-	Age      int64
-	Unsure   int64
-	// Index and Of number the caller among the instances of its failure domain; Of is zero for no number.
+	// Age is the time since the store confirmed the snapshot, in nanoseconds.
+	Age int64
+	// Unsure is the rest of the grace period after an outage of the store, in nanoseconds.
+	Unsure int64
+	// Index and Of are the caller's ordinal and the number of ordinals; Of is zero if no ordinal is assigned.
 	Index, Of int
-	// Doubts holds the words after the one that the caller heard last, and Spread is the number of the last of them.
+	// Doubts holds the suspicions after NextArgs.Heard, and Spread is the sequence number of the last one.
 	Doubts DoubtArgs
 	Spread uint64
 	Scope  scope
-	// GoneUpstreams and GoneRoutes hold what vanished, by name.
+	// GoneUpstreams and GoneRoutes hold the names of deleted upstreams and routes.
 	GoneUpstreams []string
 	GoneRoutes    []string
-	Upstreams     []Upstream
-	Unreadable    []string
-	ListedAt      uint64
-	Routes        Routes
-	Out           []string
-	OutAt         uint64
+	// Upstreams holds all upstreams, or the new and changed ones.
+	Upstreams []Upstream
+	// Unreadable holds the names of upstreams whose entries cannot be parsed.
+	Unreadable []string
+	// ListedAt is the revision of the list of upstreams.
+	ListedAt uint64
+	// Routes holds the route configuration with all routes, or with the new and changed ones.
+	Routes Routes
+	// Out holds the failure domains that operators have taken out, as of revision OutAt.
+	Out   []string
+	OutAt uint64
 }
 
-// Upstream is a registration as sent.
+// Upstream is a model.Registration on the wire. ColdFor is in nanoseconds.
 type Upstream struct {
 	ID       string
 	Revision uint64
@@ -67,7 +76,7 @@
 	Draining bool
 }
 
-// Routes is a configuration as sent.
+// Routes is a model.RouteTable on the wire. FlowIdle is in nanoseconds.
 type Routes struct {
 	Version  uint64
 	Revision uint64
@@ -76,7 +85,7 @@
 	Services []Service
 }
 
-// Route is a route as sent.
+// Route is a model.Route on the wire. Timeout is in nanoseconds.
 type Route struct {
 	Name    string
 	Address string
@@ -85,13 +94,13 @@
 	Targets []Target
 }
 
-// Target is a target as sent.
+// Target is a model.Target on the wire.
 type Target struct {
 	Service string
 	Weight  float64
 }
 
-// Service is the limits of a service as sent.
+// Service is a model.ServiceLimits on the wire. ColdFor is in nanoseconds.
 type Service struct {
 	ID          string
 	ColdRate    float64
@@ -99,29 +108,29 @@
 	Connections int
 }
 
-// toWire returns a reply; missed is what a reply of changes holds.
-func toWire(k *model.Snapshot, sc scope, missed step) NextReply {
-	out := NextReply{Revision: uint64(k.Revision), Age: int64(k.Age), Unsure: int64(k.GraceLeft), Scope: sc}
+// toWire returns a reply of the given scope; missing holds the changes for scopeChanges.
+func toWire(snap *model.Snapshot, sc scope, missing delta) NextReply {
+	out := NextReply{Revision: uint64(snap.Revision), Age: int64(snap.Age), Unsure: int64(snap.GraceLeft), Scope: sc}
 	if sc == scopeNothing {
 		return out
 	}
-	out.Unreadable, out.ListedAt, out.OutAt = k.Upstreams.Unreadable, uint64(k.Upstreams.Revision), uint64(k.OutRevision)
-	out.GoneUpstreams, out.GoneRoutes = missed.goneUpstreams, missed.goneRoutes
-	upstreams, routes := wanted(sc, missed.upstreams), wanted(sc, missed.routes)
-	for i := range k.Upstreams.Items {
-		if u := &k.Upstreams.Items[i]; upstreams(string(u.ID)) {
+	out.Unreadable, out.ListedAt, out.OutAt = snap.Upstreams.Unreadable, uint64(snap.Upstreams.Revision), uint64(snap.OutRevision)
+	out.GoneUpstreams, out.GoneRoutes = missing.deletedUpstreams, missing.deletedRoutes
+	upstreams, routes := nameFilter(sc, missing.upstreams), nameFilter(sc, missing.routes)
+	for i := range snap.Upstreams.Items {
+		if u := &snap.Upstreams.Items[i]; upstreams(string(u.ID)) {
 			out.Upstreams = append(out.Upstreams, upstreamToWire(u))
 		}
 	}
-	out.Routes = routesToWire(&k.Routes, routes)
-	for _, d := range k.Out {
+	out.Routes = routesToWire(&snap.Routes, routes)
+	for _, d := range snap.Out {
 		out.Out = append(out.Out, string(d))
 	}
 	return out
 }
 
-// wanted returns which names belong into a reply.
-func wanted(sc scope, changed []string) func(name string) bool {
+// nameFilter returns a function that reports whether a reply includes the entry with a name.
+func nameFilter(sc scope, changed []string) func(name string) bool {
 	if sc == scopeAll {
 		return func(string) bool { return true }
 	}
@@ -147,10 +156,10 @@
 	}
 }
 
-func routesToWire(t *model.RouteTable, wanted func(name string) bool) Routes {
+func routesToWire(t *model.RouteTable, include func(name string) bool) Routes {
 	out := Routes{Version: uint64(t.Version), Revision: uint64(t.Revision), FlowIdle: int64(t.FlowIdle)}
 	for _, r := range t.Routes {
-		if !wanted(r.Name) {
+		if !include(r.Name) {
 			continue
 		}
 		w := Route{Name: r.Name, Address: r.Address.String(), Kind: uint8(r.Kind), Timeout: int64(r.Timeout)}
@@ -165,18 +174,18 @@
 	return out
 }
 
-func fromWire(w *NextReply) (k model.Snapshot, err error) {
-	k = model.Snapshot{
+func fromWire(w *NextReply) (snap model.Snapshot, err error) {
+	snap = model.Snapshot{
 		Revision: model.Revision(w.Revision), Age: time.Duration(w.Age), GraceLeft: time.Duration(w.Unsure), Ordinal: model.Ordinal{Index: w.Index, Count: w.Of},
 	}
-	k.OutRevision = model.Revision(w.OutAt)
-	k.Upstreams = model.Listing[model.Registration]{Unreadable: w.Unreadable, Revision: model.Revision(w.ListedAt)}
+	snap.OutRevision = model.Revision(w.OutAt)
+	snap.Upstreams = model.Listing[model.Registration]{Unreadable: w.Unreadable, Revision: model.Revision(w.ListedAt)}
 	for _, u := range w.Upstreams {
 		address, err := netip.ParseAddrPort(u.Address)
 		if err != nil {
-			return k, err
+			return snap, err
 		}
-		k.Upstreams.Items = append(k.Upstreams.Items, model.Registration{
+		snap.Upstreams.Items = append(snap.Upstreams.Items, model.Registration{
 			ID:       model.UpstreamID(u.ID),
 			Revision: model.Revision(u.Revision),
 			Number:   model.EndpointNumber(u.Number),
@@ -190,10 +199,10 @@
 		})
 	}
 	for _, d := range w.Out {
-		k.Out = append(k.Out, model.DomainID(d))
+		snap.Out = append(snap.Out, model.DomainID(d))
 	}
-	k.Routes, err = routesFromWire(&w.Routes)
-	return k, err
+	snap.Routes, err = routesFromWire(&w.Routes)
+	return snap, err
 }
 
 func routesFromWire(w *Routes) (t model.RouteTable, err error) {
--- a/internal/plat/object/instance.go
+++ b/internal/plat/object/instance.go
@@ -8,18 +8,18 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// wireInstance is an instance as it lies in the store.
+// wireInstance is the stored JSON form of an Instance.
 type wireInstance struct {
 	Domain  string `json:"domain"`
 	Control string `json:"controlAddress"`
 	Leaving bool   `json:"leaving"`
 }
 
-// Instances reads the platform's lagging list of instances.
+// Instances returns the platform's list of instances, which may be out of date.
 func (c *Client) Instances(ctx context.Context) (list []Instance, err error) {
 	defer annotate(&err, "list instances")
-	if c.bad != nil {
-		return nil, c.bad
+	if c.addrErr != nil {
+		return nil, c.addrErr
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -41,7 +41,7 @@
 	return list, nil
 }
 
-// FormatInstance returns an instance as it lies in the store.
+// FormatInstance returns the stored JSON form of an instance.
 func FormatInstance(in Instance) (spec json.RawMessage, err error) {
 	defer annotate(&err, "format instance %s", in.ID)
 	return json.Marshal(wireInstance{Domain: string(in.Domain), Control: in.Control.String(), Leaving: in.Leaving})
--- a/internal/plat/object/object.go
+++ b/internal/plat/object/object.go
@@ -1,4 +1,4 @@
-// Package object keeps the project's own objects in the platform's store: one version of each, with watches.
+// Package object reads, writes and watches the load balancer's own objects in the platform's store.
 package object
 
 import (
@@ -18,37 +18,37 @@
 
 const (
 	callTimeout = 3 * time.Second
-	// WatchTimeout is how long one watch waits at the platform.
+	// WatchTimeout is how long the platform holds a watch call open when nothing changes.
 	WatchTimeout = 25 * time.Second
 )
 
-// The kinds of the project's objects in the store.
+// The kinds under which the load balancer's own objects are stored.
 const (
-	// KindObjects holds the document and the binding keys, by name.
+	// KindObjects holds the configuration document and the binding keys.
 	KindObjects platform.Kind = "hawthornObjects"
-	// KindInstances is the platform's lagging list of instances, by their names.
+	// KindInstances holds one object per instance. The platform maintains it, so it may be out of date.
 	KindInstances platform.Kind = "hawthornInstances"
 )
 
-// The errors of calls.
+// Errors that callers compare with errors.Is.
 var (
-	// ErrConflict means that somebody else changed the object first.
+	// ErrConflict means that another writer changed the object first.
 	ErrConflict = platform.ErrConflict
-	// ErrNotFound means that there is no such object.
+	// ErrNotFound means that the object does not exist.
 	ErrNotFound = platform.ErrNotFound
-	// ErrRejected means that the platform will never take the call as it is.
+	// ErrRejected means that the platform refused the request and would refuse it again.
 	ErrRejected = platform.ErrRejected
 	// ErrUnchanged means that a watch ended without a change.
-	ErrUnchanged = eris.New("object has not changed")
+	ErrUnchanged = eris.New("object did not change during the watch")
 )
 
-// Object is one object of the platform at one version.
+// Object is the content of a stored object at one version.
 type Object struct {
 	Version model.Version
 	Body    []byte
 }
 
-// Instance is one entry of the platform's lagging list of instances.
+// Instance is one entry of the platform's list of instances, which may be out of date.
 type Instance struct {
 	ID      model.InstanceID
 	Domain  model.DomainID
@@ -56,39 +56,40 @@
 	Leaving bool
 }
 
-// Client keeps objects in the store.
+// Client accesses objects in the platform's store. It is safe for concurrent use.
 type Client struct {
 	store *platform.Client
-	// bad is why no call can be made; nil if the store's address is known.
-	bad error
+	// addrErr is returned by every call if the store's URL is invalid; store is nil then.
+	addrErr error
 
 	mu sync.Mutex
-	// seen holds, for each object, a revision up to which it has not changed since its version; guarded by mu.
-	seen map[string]model.Revision
+	// positions maps the name of each object to the store revision at which its next watch resumes. Guarded by mu.
+	positions map[string]model.Revision
 }
 
-// NewClient returns a client of the store at the URL that calls from the local address, if that is given.
+// NewClient returns a client of the store at the base URL, whose host must be an IP address and a port. Calls use local as their source
+// address if it is valid. An invalid URL is reported by the calls.
 func NewClient(base string, local netip.Addr) *Client {
-	c := &Client{seen: map[string]model.Revision{}}
+	c := &Client{positions: map[string]model.Revision{}}
 	u, err := url.Parse(base)
 	if err != nil {
-		c.bad = err
+		c.addrErr = err
 		return c
 	}
 	at, err := netip.ParseAddrPort(u.Host)
 	if err != nil {
-		c.bad = eris.Wrapf(err, "platform %q must be a URL with an IP address and a port", base)
+		c.addrErr = eris.Wrapf(err, "platform URL %q must have an IP address and a port as its host", base)
 		return c
 	}
 	c.store = platform.NewClient(at, local)
 	return c
 }
 
-// Get reads an object.
+// Get reads an object; the error is ErrNotFound if it does not exist.
 func (c *Client) Get(ctx context.Context, name string) (obj Object, err error) {
 	defer annotate(&err, "read object %s", name)
-	if c.bad != nil {
-		return Object{}, c.bad
+	if c.addrErr != nil {
+		return Object{}, c.addrErr
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -99,11 +100,11 @@
 	return decode(got)
 }
 
-// Watch waits for a version above the given one; it returns ErrUnchanged if none came.
+// Watch waits up to WatchTimeout for a version above the given one. It returns ErrUnchanged if there is none.
 func (c *Client) Watch(ctx context.Context, name string, above model.Version) (obj Object, err error) {
 	defer annotate(&err, "watch object %s", name)
-	if c.bad != nil {
-		return Object{}, c.bad
+	if c.addrErr != nil {
+		return Object{}, c.addrErr
 	}
 	ctx, cancel := context.WithTimeout(ctx, WatchTimeout+callTimeout)
 	defer cancel()
@@ -127,7 +128,8 @@
 	return Object{}, ErrUnchanged
 }
 
-// reread reads an object whose changes the store no longer holds, or that was never read.
+// reread lists the current objects. It replaces a watch if there is no position to resume from, or if the store has compacted the changes
+// since that position.
 func (c *Client) reread(ctx context.Context, name string, above model.Version) (Object, error) {
 	items, rev, err := c.store.List(ctx, KindObjects)
 	if err != nil {
@@ -145,20 +147,21 @@
 func (c *Client) position(name string) model.Revision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.seen[name]
+	return c.positions[name]
 }
 
 func (c *Client) setPosition(name string, rev model.Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.seen[name] = max(c.seen[name], rev)
+	c.positions[name] = max(c.positions[name], rev)
 }
 
-// Put writes an object if it is still at the version, zero for one that must not exist yet.
+// Put replaces an object that is still at the given version, or creates it if that is zero. It returns the new version, or ErrConflict if the
+// object is at another version or exists already.
 func (c *Client) Put(ctx context.Context, name string, at model.Version, body []byte) (v model.Version, err error) {
 	defer annotate(&err, "write object %s", name)
-	if c.bad != nil {
-		return 0, c.bad
+	if c.addrErr != nil {
+		return 0, c.addrErr
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -178,15 +181,16 @@
 	return model.Version(obj.Revision), nil
 }
 
-// decode returns an object whose body lies in the store as one text.
+// decode converts a stored object, whose spec is its body as one JSON string.
 func decode(obj platform.Object) (Object, error) {
 	var body string
 	if err := json.Unmarshal(obj.Spec, &body); err != nil {
-		return Object{}, eris.Wrap(err, "body is not a text")
+		return Object{}, eris.Wrap(err, "object spec is not a JSON string")
 	}
 	return Object{Version: model.Version(obj.Revision), Body: []byte(body)}, nil
 }
 
+// annotate wraps a non-nil *err; it is meant to be deferred.
 func annotate(err *error, format string, args ...any) {
 	if *err != nil {
 		*err = eris.Wrapf(*err, format, args...)
--- a/internal/proof/direct/direct_test.go
+++ b/internal/proof/direct/direct_test.go
@@ -47,8 +47,8 @@
 				s.await(startLimit, want, func() bool { return strings.Contains(p.Log(), want) })
 			}
 			faster := func(set *stand.Settings) { set.MaxStaleness /= 2 }
-			change(s.Processes[0], true, "Changed settings are in force", faster)
-			change(s.Processes[1], false, "Changed settings are in force", faster)
+			change(s.Processes[0], true, "Changed settings have been applied", faster)
+			change(s.Processes[1], false, "Changed settings have been applied", faster)
 			change(s.Processes[2], true, "Changed settings cannot be used", func(set *stand.Settings) { set.Store = netip.AddrPort{} })
 			change(s.Processes[3], true, "listen.ready-addr", func(set *stand.Settings) { set.Ready = feedAddress })
 			s.Processes[3].Settings.Ready = netip.AddrPortFrom(s.Processes[3].Settings.Packets.Addr(), s.Processes[0].Settings.Ready.Port())
--- a/internal/run/entry/act.go
+++ b/internal/run/entry/act.go
@@ -9,14 +9,14 @@
 	"hawthorncourse/internal/wire/frame"
 )
 
-// datagram is one packet to send; a nil conn means none.
+// datagram is an outgoing UDP datagram; a nil conn means that there is nothing to send.
 type datagram struct {
 	conn *net.UDPConn
 	to   netip.AddrPort
 	raw  []byte
 }
 
-// datagram returns what an action sends.
+// datagram encodes the packet that an action sends, if any.
 func (e *Entry) datagram(a *model.Action) (datagram, error) {
 	switch a.Verb {
 	case model.VerbForward:
@@ -24,11 +24,11 @@
 	case model.VerbHandOff:
 		f := callerFrame(a.Packet)
 		f.Hops, f.Upstream = a.Packet.Hops+1, a.Packet.Upstream
-		return e.wrap(e.hand, e.hands[a.Peer], f)
+		return e.wrap(e.handOff, e.handOffAddrs[a.Peer], f)
 	case model.VerbHandOffAnswer:
 		f := answerFrame(a.Answer.Flow, a.Answer.Raw)
 		f.From, f.Boot = a.Answer.From, a.Answer.Boot
-		return e.wrap(e.hand, e.hands[a.Peer], f)
+		return e.wrap(e.handOff, e.handOffAddrs[a.Peer], f)
 	case model.VerbDeliver:
 		return e.deliver(a)
 	case model.VerbChallenge, model.VerbRefuse, model.VerbOutcomeUnknown:
@@ -46,16 +46,18 @@
 	return frame.Frame{Source: flow.Service, Dest: flow.Caller, Payload: raw}
 }
 
+// wrap encodes a frame for an address; a packet without a valid address is counted as a failed send.
 func (e *Entry) wrap(conn *net.UDPConn, to netip.AddrPort, f frame.Frame) (datagram, error) {
 	if !to.IsValid() {
-		e.tally.drop(model.ReasonSendFailed)
+		e.counters.drop(model.ReasonSendFailed)
 		return datagram{}, nil
 	}
 	raw, err := frame.Format(f)
 	return datagram{conn: conn, to: to, raw: raw}, err
 }
 
-// deliver returns the datagram that brings an answer to its caller.
+// deliver encodes an answer for its caller. An action with a packet repeats a stored answer for a retransmitted request; one with a binding
+// replaces the binding in the answer.
 func (e *Entry) deliver(a *model.Action) (d datagram, err error) {
 	if a.Packet != nil {
 		raw, err := coap.Readdress(a.Raw, a.Packet)
@@ -73,7 +75,7 @@
 	return e.wrap(e.front, e.cfg.Fabric, answerFrame(a.Answer.Flow, raw))
 }
 
-// reply returns the datagram with this instance's own answer; opaque flows get none.
+// reply encodes an answer that this instance gives by itself. Opaque datagrams and callers' acknowledgements get none.
 func (e *Entry) reply(a *model.Action) (d datagram, err error) {
 	if a.Packet.Class == model.ClassFlow || a.Packet.Class == model.ClassReply {
 		return d, nil
--- a/internal/run/entry/admin.go
+++ b/internal/run/entry/admin.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	adminTimeout = 5 * time.Second
-	levelLimit   = 32
+	adminTimeout  = 5 * time.Second
+	maxLevelBytes = 32
 )
 
-// serveAdmin serves status and counters to operators.
+// serveAdmin serves status, counters, the log level and profiles to operators.
 func (e *Entry) serveAdmin(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", e.getStatus)
@@ -37,20 +37,21 @@
 	return nil
 }
 
+// getStatus reports the state of the instance, its counters, and its view of peers and upstreams as JSON.
 func (e *Entry) getStatus(w http.ResponseWriter, _ *http.Request) {
-	asked := make(chan []model.UpstreamView, 1)
-	e.do(func(now model.Instant) { asked <- e.engine.View(now) })
-	report := status.Report{Instance: e.self.ID, Domain: e.self.Domain, Totals: e.counts.Totals(), Members: e.mesh.Members(), Upstreams: <-asked}
+	upstreams := make(chan []model.UpstreamView, 1)
+	e.submit(func(now model.Instant) { upstreams <- e.engine.View(now) })
+	report := status.Report{Instance: e.self.ID, Domain: e.self.Domain, Totals: e.counts.Totals(), Members: e.mesh.Members(), Upstreams: <-upstreams}
 	report.Document, _ = e.Object(mesh.KindDocument)
 	report.Keys, _ = e.Object(mesh.KindKeys)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(status.ToWire(report))
 }
 
-// putLevel changes the level of the log while the instance runs.
+// putLevel sets the log level; it is not kept across a restart.
 func (e *Entry) putLevel(w http.ResponseWriter, r *http.Request) {
-	word, _ := io.ReadAll(io.LimitReader(r.Body, levelLimit))
-	level, err := logrus.ParseLevel(string(word))
+	body, _ := io.ReadAll(io.LimitReader(r.Body, maxLevelBytes))
+	level, err := logrus.ParseLevel(string(body))
 	if err != nil {
 		http.Error(w, "Body must be a level such as debug, info or warning.", http.StatusBadRequest)
 		return
--- a/internal/run/entry/decide.go
+++ b/internal/run/entry/decide.go
@@ -7,7 +7,7 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// decide is the duty that drives the engine; nothing else touches it.
+// decide is the decision loop, the only goroutine that uses the engine. It handles packets, answers, commands and timer ticks in turn.
 func (e *Entry) decide(ctx context.Context) error {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -25,16 +25,16 @@
 			return nil
 		}
 		if e.engine.TakeUrgent() {
-			e.tellNow()
+			e.sendUrgentUpdates()
 		}
 	}
 }
 
-// act carries out the engine's decisions.
+// act queues the datagrams that the engine's actions call for.
 func (e *Entry) act(actions []model.Action) {
 	for i := range actions {
 		a := &actions[i]
-		e.tally.count(a)
+		e.counters.count(a)
 		d, err := e.datagram(a)
 		if err != nil {
 			e.counts.Counter("entry.encode_failed").Inc(1)
@@ -44,7 +44,7 @@
 			continue
 		}
 		if !e.out.Offer(d) {
-			e.tally.drop(model.ReasonRingFull)
+			e.counters.drop(model.ReasonRingFull)
 		}
 	}
 }
--- a/internal/run/entry/entry.go
+++ b/internal/run/entry/entry.go
@@ -1,4 +1,4 @@
-// Package entry runs one entry instance: its duties, the rings between them and its sockets.
+// Package entry runs one entry instance: its sockets, its goroutines and the bounded queues between them.
 package entry
 
 import (
@@ -26,53 +26,58 @@
 
 const (
 	tickInterval = 50 * time.Millisecond
-	ringPause    = 5 * time.Millisecond
-	startTiming  = 3 * time.Second
+	// ringRetryDelay is how long submit waits before it retries a full queue.
+	ringRetryDelay = 5 * time.Millisecond
+	// initialDetection is the detection time for dead instances until a document is active.
+	initialDetection = 3 * time.Second
+	// socketBuffer is the receive buffer of each UDP socket, in bytes.
 	socketBuffer = 4 << 20
 )
 
-// Entry is one running instance.
+// Entry is one running entry instance. A single goroutine, the decision loop, owns the engine; the others reach it through queues.
 type Entry struct {
-	cfg    setup.Config
-	log    *logrus.Logger
-	self   model.Member
-	start  time.Time
-	counts *count.Set
-	tally  *tallies
+	cfg   setup.Config
+	log   *logrus.Logger
+	self  model.Member
+	start time.Time
+	// counts holds all metrics, counters those of the engine's actions.
+	counts   *count.Set
+	counters *actionCounters
 
 	engine   *engine.Engine
 	mesh     *mesh.Mesh
 	platform *object.Client
-	objects  [objectKinds]held
+	objects  [objectKinds]activeObject
 
-	front, back, hand *net.UDPConn
-	control, admin    net.Listener
+	// front is the socket towards the fabric, back the one towards the upstreams, and handOff the one for packets of peers.
+	front, back, handOff *net.UDPConn
+	control, admin       net.Listener
 
 	packets  *ring.Ring[model.Packet]
 	answers  *ring.Ring[model.Answer]
 	commands *ring.Ring[command]
 	out      *ring.Ring[datagram]
 
-	// services maps each service address to its kind, for the readers.
+	// services maps each service address to its kind; the goroutines that read packets use it.
 	services atomic.Pointer[map[netip.AddrPort]model.Kind]
-	// listed tells which domains the platform's list shows alive, and whether it was read at all.
-	listed atomic.Pointer[listing]
-	// keyEpoch is that of the document in force; zero for none.
+	// platformList is the platform's list of instances as last read; nil before the first successful read.
+	platformList atomic.Pointer[instanceList]
+	// keyEpoch is the key epoch of the active document; zero without a document.
 	keyEpoch atomic.Uint32
-	// loads is how busy this instance last was.
+	// loads is the latest utilisation of this instance's slots, sent to peers with every probe.
 	loads atomic.Pointer[[]engine.Load]
-	// hands maps peers to the addresses for packets; only the decide duty uses it.
-	hands map[model.InstanceID]netip.AddrPort
+	// handOffAddrs maps peers to their addresses for handed-off packets; only the decision loop uses it.
+	handOffAddrs map[model.InstanceID]netip.AddrPort
 
 	stopOnce sync.Once
-	// over is set when the decide duty may have ended.
-	over atomic.Bool
+	// decideStopped is set once the decision loop has been told to stop, so that submit does not wait for it.
+	decideStopped atomic.Bool
 }
 
-// command is one change for the decide duty.
+// command is a function that the decision loop runs.
 type command func(now model.Instant)
 
-// New opens the sockets of an instance; Run closes them.
+// New opens the sockets of an instance. Run closes them.
 func New(cfg setup.Config, log *logrus.Logger) (e *Entry, err error) {
 	defer func() {
 		if err != nil {
@@ -80,18 +85,18 @@
 		}
 	}()
 	e = &Entry{
-		cfg:      cfg,
-		log:      log,
-		start:    time.Now(),
-		counts:   count.New(),
-		platform: object.NewClient(cfg.Platform, cfg.Control.Addr()),
-		packets:  ring.New[model.Packet](cfg.RingSize),
-		answers:  ring.New[model.Answer](cfg.RingSize),
-		commands: ring.New[command](cfg.RingSize),
-		out:      ring.New[datagram](cfg.RingSize),
-		hands:    map[model.InstanceID]netip.AddrPort{},
-	}
-	e.tally = newTallies(e.counts)
+		cfg:          cfg,
+		log:          log,
+		start:        time.Now(),
+		counts:       count.New(),
+		platform:     object.NewClient(cfg.Platform, cfg.Control.Addr()),
+		packets:      ring.New[model.Packet](cfg.RingSize),
+		answers:      ring.New[model.Answer](cfg.RingSize),
+		commands:     ring.New[command](cfg.RingSize),
+		out:          ring.New[datagram](cfg.RingSize),
+		handOffAddrs: map[model.InstanceID]netip.AddrPort{},
+	}
+	e.counters = newActionCounters(e.counts)
 	if err := e.openSockets(); err != nil {
 		e.closeSockets()
 		return nil, err
@@ -112,7 +117,7 @@
 	e.engine = engine.New(engine.Config{Self: e.self, Start: e.start, Seed: seed, StreamLimit: cfg.StreamLimit, Policy: policy})
 	e.mesh = mesh.New(mesh.Config{
 		Listener: e.control,
-		Member:   member.Config{Self: e.self, Detection: startTiming, Seed: seed},
+		Member:   member.Config{Self: e.self, Detection: initialDetection, Seed: seed},
 		Host:     e,
 		Log:      logs.Named(log, "mesh"),
 		Counts:   e.counts,
@@ -128,7 +133,7 @@
 	if e.back, err = listenUDP(e.cfg.Back); err != nil {
 		return err
 	}
-	if e.hand, err = listenUDP(e.cfg.HandOff); err != nil {
+	if e.handOff, err = listenUDP(e.cfg.HandOff); err != nil {
 		return err
 	}
 	if e.control, err = net.Listen("tcp", e.cfg.Control.String()); err != nil {
@@ -151,7 +156,7 @@
 }
 
 func (e *Entry) closeSockets() {
-	for _, conn := range []*net.UDPConn{e.front, e.back, e.hand} {
+	for _, conn := range []*net.UDPConn{e.front, e.back, e.handOff} {
 		if conn != nil {
 			_ = conn.Close()
 		}
@@ -163,63 +168,64 @@
 	}
 }
 
-// Run serves until the planned stop that begins when ctx ends is over, or until a duty fails.
+// Run serves until ctx is cancelled and the graceful shutdown that follows is complete, or until a goroutine fails.
 func (e *Entry) Run(ctx context.Context) (err error) {
 	defer func() {
 		if err != nil {
 			err = eris.Wrapf(err, "run instance %s", e.cfg.Instance)
 		}
 	}()
-	e.part("entry").With("instance", e.cfg.Instance).With("domain", e.cfg.Domain).Info("Instance starts.")
+	e.logger("entry").With("instance", e.cfg.Instance).With("domain", e.cfg.Domain).Info("Instance is starting.")
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	g, work := errgroup.WithContext(work)
-	duties := []func(context.Context) error{
+	tasks := []func(context.Context) error{
 		e.mesh.Run,
 		e.decide,
 		e.send,
 		e.readFront,
 		e.readBack,
-		e.readHand,
+		e.readHandOff,
 		e.watchDocument,
 		e.watchKeys,
-		e.backstop,
+		e.resync,
 		e.seed,
 		e.pollHealth,
-		e.share,
+		e.disseminate,
 		e.serveAdmin,
 	}
-	for _, duty := range duties {
-		g.Go(func() error { return duty(work) })
+	for _, task := range tasks {
+		g.Go(func() error { return task(work) })
 	}
 	g.Go(func() error {
 		defer cancel()
 		return e.awaitStop(ctx, work)
 	})
 	stop := context.AfterFunc(work, func() {
-		e.over.Store(true)
+		e.decideStopped.Store(true)
 		e.closeSockets()
 	})
 	defer stop()
 	err = g.Wait()
 	e.closeSockets()
-	e.part("entry").Info("Instance ends.")
+	e.logger("entry").Info("Instance has stopped.")
 	return err
 }
 
-// awaitStop begins the planned stop when ctx ends and returns when nothing is bound here any more.
+// awaitStop starts the graceful shutdown when ctx is cancelled and returns when no request or flow depends on this instance any more.
+// work is the context of the other goroutines; it is cancelled when one of them fails.
 func (e *Entry) awaitStop(ctx, work context.Context) error {
 	select {
 	case <-ctx.Done():
 	case <-work.Done():
 		return nil
 	}
-	e.part("entry").Info("Planned stop begins.")
+	e.logger("entry").Info("Graceful shutdown has started; new work goes to peers.")
 	e.mesh.Leave()
 	stopped := make(chan struct{})
-	e.do(func(now model.Instant) { e.engine.Stop(now) })
+	e.submit(func(now model.Instant) { e.engine.Stop(now) })
 	for {
-		e.do(func(now model.Instant) {
+		e.submit(func(now model.Instant) {
 			if e.engine.Stopped(now) {
 				e.stopOnce.Do(func() { close(stopped) })
 			}
@@ -234,18 +240,20 @@
 	}
 }
 
-// do gives the decide duty a change; a full ring is waited for, which holds back only the asking duty.
-func (e *Entry) do(c command) {
-	for !e.commands.Offer(c) && !e.over.Load() {
+// submit queues a command for the decision loop. It blocks while the queue is full; only the calling goroutine waits.
+func (e *Entry) submit(c command) {
+	for !e.commands.Offer(c) && !e.decideStopped.Load() {
 		e.counts.Counter("entry.command_ring_full").Inc(1)
-		time.Sleep(ringPause)
+		time.Sleep(ringRetryDelay)
 	}
 }
 
-func (e *Entry) part(name string) logs.Logger {
+// logger returns the log of the named component.
+func (e *Entry) logger(name string) logs.Logger {
 	return logs.Named(e.log, name)
 }
 
+// now returns the time since the start of the process.
 func (e *Entry) now() model.Instant {
 	return model.Instant(time.Since(e.start))
 }
--- a/internal/run/entry/health.go
+++ b/internal/run/entry/health.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	healthTimeout  = time.Second
-	healthParallel = 16
-	healthLimit    = 4 << 10
+	healthTimeout     = time.Second
+	healthConcurrency = 16
+	maxHealthBytes    = 4 << 10
 )
 
-// wireHealth is an upstream's report of its health and load.
+// wireHealth is the JSON body of an upstream's health endpoint.
 type wireHealth struct {
 	State       string `json:"state"`
 	Connections int    `json:"connections"`
 }
 
-// pollHealth asks the upstreams whose slots are owned here for their health and load.
+// pollHealth periodically checks the upstreams for which this instance is the designated prober.
 func (e *Entry) pollHealth(ctx context.Context) error {
 	client := &http.Client{Timeout: healthTimeout}
 	for ctx.Err() == nil {
-		asked := make(chan []model.Upstream, 1)
-		e.do(func(model.Instant) { asked <- e.engine.HealthCheckTargets() })
+		targets := make(chan []model.Upstream, 1)
+		e.submit(func(model.Instant) { targets <- e.engine.HealthCheckTargets() })
 		select {
-		case ups := <-asked:
-			e.pollEach(ctx, client, ups)
+		case ups := <-targets:
+			e.pollAll(ctx, client, ups)
 		case <-ctx.Done():
 		}
 		sleep(ctx, e.cfg.HealthInterval)
@@ -41,21 +41,22 @@
 	return nil
 }
 
-func (e *Entry) pollEach(ctx context.Context, client *http.Client, ups []model.Upstream) {
+// pollAll checks upstreams in parallel and returns when all of them have been checked.
+func (e *Entry) pollAll(ctx context.Context, client *http.Client, ups []model.Upstream) {
 	var g errgroup.Group
-	g.SetLimit(healthParallel)
+	g.SetLimit(healthConcurrency)
 	for _, up := range ups {
 		g.Go(func() error {
-			h := askHealth(ctx, client, up)
-			e.do(func(now model.Instant) { e.engine.SetHealth(now, h) })
+			h := fetchHealth(ctx, client, up)
+			e.submit(func(now model.Instant) { e.engine.SetHealth(now, h) })
 			return nil
 		})
 	}
 	_ = g.Wait()
 }
 
-// askHealth returns an upstream's report; one that cannot be had counts as down.
-func askHealth(ctx context.Context, client *http.Client, up model.Upstream) engine.Health {
+// fetchHealth returns an upstream's health report. The upstream counts as down if it does not return a valid one.
+func fetchHealth(ctx context.Context, client *http.Client, up model.Upstream) engine.Health {
 	h := engine.Health{Upstream: up.ID, Down: true}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+up.Health.String()+"/health", nil)
 	if err != nil {
@@ -67,7 +68,7 @@
 	}
 	defer res.Body.Close()
 	var wire wireHealth
-	if json.NewDecoder(io.LimitReader(res.Body, healthLimit)).Decode(&wire) != nil || res.StatusCode != http.StatusOK {
+	if json.NewDecoder(io.LimitReader(res.Body, maxHealthBytes)).Decode(&wire) != nil || res.StatusCode != http.StatusOK {
 		return h
 	}
 	return engine.Health{
--- a/internal/run/entry/objects.go
+++ b/internal/run/entry/objects.go
@@ -18,59 +18,64 @@
 )
 
 const (
-	objectKinds   = 2
-	watchersEach  = 2
-	watchPause    = time.Second
-	backstopEvery = time.Minute
-	rotatePause   = time.Second
+	// objectKinds is the number of replicated objects.
+	objectKinds = 2
+	// watchersPerDomain is the number of instances per failure domain that watch an object in the platform's store.
+	watchersPerDomain  = 2
+	watchRetryInterval = time.Second
+	// resyncInterval is the mean time between two rounds of resync.
+	resyncInterval = time.Minute
+	// rotateInterval is how often rotateKeys checks for a new key epoch.
+	rotateInterval = time.Second
 )
 
-// objectNames holds the platform's names of the objects that instances keep alike.
+// objectNames maps the replicated objects to their names in the platform's store.
 var objectNames = [objectKinds]string{
 	mesh.KindDocument: config.ObjectName,
 	mesh.KindKeys:     keys.ObjectName,
 }
 
-// held is one object in force here.
-type held struct {
+// activeObject is the version of an object that this instance uses.
+type activeObject struct {
 	mu sync.Mutex
-	// version never falls.
+	// version never decreases; zero means that there is no object yet.
 	version model.Version
 	body    []byte
 }
 
 // Object implements mesh.Host.
 func (e *Entry) Object(kind mesh.Kind) (model.Version, []byte) {
-	h := &e.objects[kind]
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.version, h.body
+	o := &e.objects[kind]
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.version, o.body
 }
 
-// Offer implements mesh.Host: only a higher version that can be read is put in force.
+// Offer implements mesh.Host. It activates an object if its version is higher than the active one and it can be parsed.
 func (e *Entry) Offer(kind mesh.Kind, version model.Version, body []byte) {
-	h := &e.objects[kind]
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if version <= h.version {
+	o := &e.objects[kind]
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if version <= o.version {
 		return
 	}
 	if err := e.install(kind, version, body); err != nil {
 		e.counts.Counter("objects.unreadable").Inc(1)
-		e.part("objects").With("version", version).With("error", err).Error("An object cannot be read, the earlier one stays in force.")
+		e.logger("objects").With("version", version).With("error", err).Error("A new object version cannot be parsed; the previous version stays active.")
 		return
 	}
-	h.version, h.body = version, body
+	o.version, o.body = version, body
 	e.mesh.Push()
 }
 
+// install parses an object and passes it to the engine.
 func (e *Entry) install(kind mesh.Kind, version model.Version, body []byte) error {
 	if kind == mesh.KindKeys {
 		parsed, err := keys.Parse(version, body)
 		if err != nil {
 			return err
 		}
-		e.do(func(model.Instant) { e.engine.SetKeys(parsed) })
+		e.submit(func(model.Instant) { e.engine.SetKeys(parsed) })
 		return nil
 	}
 	doc, err := config.Parse(body)
@@ -90,28 +95,29 @@
 	e.services.Store(&services)
 	e.keyEpoch.Store(uint32(doc.KeyEpoch))
 	e.mesh.SetDetection(doc.Timing.Detection)
-	e.do(func(now model.Instant) { e.engine.SetDocument(now, doc) })
-	e.part("objects").With("version", doc.Version).Info("A document is in force.")
+	e.submit(func(now model.Instant) { e.engine.SetDocument(now, doc) })
+	e.logger("objects").With("version", doc.Version).Info("A new configuration document is active.")
 }
 
-// watchDocument follows the operators' document.
+// watchDocument watches the operators' configuration document.
 func (e *Entry) watchDocument(ctx context.Context) error {
 	return e.watch(ctx, mesh.KindDocument)
 }
 
-// watchKeys follows the binding keys and makes new ones when the document asks for them.
+// watchKeys watches the binding keys and rotates them when the document's key epoch is raised.
 func (e *Entry) watchKeys(ctx context.Context) error {
 	go e.rotateKeys(ctx)
 	return e.watch(ctx, mesh.KindKeys)
 }
 
-// watch follows an object at the platform while this instance is one of its domain's watchers.
+// watch watches an object in the platform's store while this instance is one of its domain's watchers. The other instances get the object
+// from peers.
 func (e *Entry) watch(ctx context.Context, kind mesh.Kind) error {
-	// seen is the last version that the platform gave, readable or not.
+	// seen is the last version that the platform returned, including versions that could not be parsed.
 	var seen model.Version
 	for ctx.Err() == nil {
-		if !e.watcher(kind) {
-			sleep(ctx, watchPause)
+		if !e.isWatcher(kind) {
+			sleep(ctx, watchRetryInterval)
 			continue
 		}
 		have, _ := e.Object(kind)
@@ -123,16 +129,17 @@
 		case errors.Is(err, object.ErrUnchanged):
 		default:
 			e.counts.Counter("platform.watch_failed").Inc(1)
-			sleep(ctx, watchPause)
+			sleep(ctx, watchRetryInterval)
 		}
 	}
 	return nil
 }
 
-// backstop reads the objects now and then, in case that no peer brought them.
-func (e *Entry) backstop(ctx context.Context) error {
+// resync periodically reads all objects from the platform's store, in case an instance missed an update from its peers. Its interval is
+// random, so that instances do not read at the same time.
+func (e *Entry) resync(ctx context.Context) error {
 	for ctx.Err() == nil {
-		sleep(ctx, backstopEvery/2+rand.N(backstopEvery))
+		sleep(ctx, resyncInterval/2+rand.N(resyncInterval))
 		for kind := range mesh.Kind(objectKinds) {
 			obj, err := e.platform.Get(ctx, objectNames[kind])
 			if err == nil {
@@ -143,23 +150,23 @@
 	return nil
 }
 
-// watcher reports whether this instance is among the few of its domain that watch the object.
-func (e *Entry) watcher(kind mesh.Kind) bool {
+// isWatcher reports whether rendezvous hashing selects this instance as one of its domain's watchers of the object.
+func (e *Entry) isWatcher(kind mesh.Kind) bool {
 	var pool []rendez.Candidate[model.InstanceID]
 	for _, m := range e.mesh.Members() {
 		if m.Domain == e.self.Domain && m.State != model.MemberDead {
 			pool = append(pool, rendez.NewCandidate(string(m.ID), m.ID))
 		}
 	}
-	first, second := rendez.FirstTwo(rendez.KeyOf(objectNames[kind], watchersEach), pool)
+	first, second := rendez.FirstTwo(rendez.KeyOf(objectNames[kind], watchersPerDomain), pool)
 	return first == e.self.ID || second == e.self.ID
 }
 
-// rotateKeys makes the key of the document's epoch when it is missing.
+// rotateKeys adds a binding key for the document's key epoch when there is none yet.
 func (e *Entry) rotateKeys(ctx context.Context) {
 	for ctx.Err() == nil {
-		sleep(ctx, rotatePause)
-		if e.watcher(mesh.KindKeys) {
+		sleep(ctx, rotateInterval)
+		if e.isWatcher(mesh.KindKeys) {
 			e.rotateOnce(ctx)
 		}
 	}
@@ -178,15 +185,15 @@
 			return
 		}
 	}
-	fresh, err := keys.Rotate(old, epoch)
+	rotated, err := keys.Rotate(old, epoch)
 	if err != nil {
 		return
 	}
-	now, err := e.platform.Put(ctx, keys.ObjectName, version, fresh)
+	newVersion, err := e.platform.Put(ctx, keys.ObjectName, version, rotated)
 	switch {
 	case err == nil:
-		e.part("keys").With("epoch", epoch).Info("A new binding key is valid.")
-		e.Offer(mesh.KindKeys, now, fresh)
+		e.logger("keys").With("epoch", epoch).Info("A new binding key was generated and stored.")
+		e.Offer(mesh.KindKeys, newVersion, rotated)
 	case errors.Is(err, object.ErrConflict):
 		e.counts.Counter("keys.conflict").Inc(1)
 		e.refetch(ctx, mesh.KindKeys)
@@ -195,6 +202,7 @@
 	}
 }
 
+// refetch reads an object that another instance has written first.
 func (e *Entry) refetch(ctx context.Context, kind mesh.Kind) {
 	obj, err := e.platform.Get(ctx, objectNames[kind])
 	if err == nil {
@@ -202,7 +210,7 @@
 	}
 }
 
-// sleep waits for the time or for the end of the context.
+// sleep waits for d or until ctx is cancelled.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
--- a/internal/run/entry/peers.go
+++ b/internal/run/entry/peers.go
@@ -9,35 +9,36 @@
 )
 
 const (
-	shareInterval = 500 * time.Millisecond
-	seedInterval  = 5 * time.Second
-	// calmInterval is how often the platform's list is read while every domain has a live instance.
-	calmInterval = 5 * time.Minute
-	// copiesPerShare paces word of flows.
-	copiesPerShare = 100
+	disseminateInterval = 500 * time.Millisecond
+	seedInterval        = 5 * time.Second
+	// stableSeedInterval is the time between two reads of the platform's list while every listed domain has a live instance.
+	stableSeedInterval = 5 * time.Minute
+	// assignmentsPerRound bounds the flow assignments that one round of disseminate sends.
+	assignmentsPerRound = 100
 )
 
-// listing is what the platform's list of instances last showed.
-type listing struct {
-	// live holds the domains with at least one instance.
+// instanceList summarises the platform's list of instances.
+type instanceList struct {
+	// live holds the domains with at least one listed instance.
 	live map[model.DomainID]bool
 }
 
 // MembersChanged implements mesh.Host.
 func (e *Entry) MembersChanged(members []model.Member) {
-	adopted := e.adopted(members)
-	e.do(func(now model.Instant) {
-		clear(e.hands)
+	orphaned := e.orphanedDomains(members)
+	e.submit(func(now model.Instant) {
+		clear(e.handOffAddrs)
 		for _, m := range members {
-			e.hands[m.ID] = m.HandOff
+			e.handOffAddrs[m.ID] = m.HandOff
 		}
-		e.engine.SetMembers(now, members, adopted)
+		e.engine.SetMembers(now, members, orphaned)
 	})
 }
 
-// adopted returns the domains that have no instance by the mesh and by the platform's list.
-func (e *Entry) adopted(members []model.Member) map[model.DomainID]bool {
-	list := e.listed.Load()
+// orphanedDomains returns the domains that have no live instance according to both the mesh and the platform's list. The slots of their
+// upstreams go to instances of other domains.
+func (e *Entry) orphanedDomains(members []model.Member) map[model.DomainID]bool {
+	list := e.platformList.Load()
 	if list == nil {
 		return nil
 	}
@@ -49,8 +50,8 @@
 }
 
 // ApplyPeerUpdate implements mesh.Host.
-func (e *Entry) ApplyPeerUpdate(l engine.PeerUpdate) {
-	e.do(func(now model.Instant) { e.act(e.engine.ApplyPeerUpdate(now, l)) })
+func (e *Entry) ApplyPeerUpdate(u engine.PeerUpdate) {
+	e.submit(func(now model.Instant) { e.act(e.engine.ApplyPeerUpdate(now, u)) })
 }
 
 // Loads implements mesh.Host.
@@ -64,20 +65,21 @@
 
 // SetPeerLoads implements mesh.Host.
 func (e *Entry) SetPeerLoads(from model.InstanceID, loads []engine.Load) {
-	e.do(func(model.Instant) { e.engine.SetPeerLoads(from, loads) })
+	e.submit(func(model.Instant) { e.engine.SetPeerLoads(from, loads) })
 }
 
 // AddAssignments implements mesh.Host.
-func (e *Entry) AddAssignments(copies []engine.FlowAssignment) {
-	e.do(func(now model.Instant) { e.engine.AddAssignments(now, copies) })
+func (e *Entry) AddAssignments(assignments []engine.FlowAssignment) {
+	e.submit(func(now model.Instant) { e.engine.AddAssignments(now, assignments) })
 }
 
-// seed reads the platform's list for instances that are not known yet.
+// seed reads the platform's list periodically to discover instances that are not members of the mesh yet. It reads less often while every
+// listed domain has a live instance.
 func (e *Entry) seed(ctx context.Context) error {
 	for ctx.Err() == nil {
 		e.seedOnce(ctx)
 		last := time.Now()
-		for ctx.Err() == nil && e.calm() && time.Since(last) < calmInterval {
+		for ctx.Err() == nil && e.allDomainsLive() && time.Since(last) < stableSeedInterval {
 			sleep(ctx, seedInterval)
 		}
 		sleep(ctx, seedInterval)
@@ -85,9 +87,9 @@
 	return nil
 }
 
-// calm reports whether the platform's list was read and every domain that it shows has a live instance.
-func (e *Entry) calm() bool {
-	list := e.listed.Load()
+// allDomainsLive reports whether the platform's list has been read and every domain on it has a live instance.
+func (e *Entry) allDomainsLive() bool {
+	list := e.platformList.Load()
 	if list == nil {
 		return false
 	}
@@ -99,6 +101,7 @@
 	return true
 }
 
+// seedOnce reads the platform's list and probes the instances on it.
 func (e *Entry) seedOnce(ctx context.Context) {
 	list, err := e.platform.Instances(ctx)
 	if err != nil {
@@ -111,48 +114,49 @@
 		live[in.Domain] = true
 		seeds = append(seeds, model.Member{ID: in.ID, Domain: in.Domain, Control: in.Control})
 	}
-	e.listed.Store(&listing{live: live})
+	e.platformList.Store(&instanceList{live: live})
 	e.mesh.Seed(ctx, seeds)
 	e.MembersChanged(e.mesh.Members())
-	e.do(func(model.Instant) { e.engine.SetPeersContacted() })
+	e.submit(func(model.Instant) { e.engine.SetPeersContacted() })
 }
 
-// share tells co-owners of upstreams what was heard of them, and homes where flows sit.
-func (e *Entry) share(ctx context.Context) error {
+// disseminate periodically sends observations of upstreams to the co-owners of their slots, and flow assignments to the home instances of
+// the flows.
+func (e *Entry) disseminate(ctx context.Context) error {
 	for ctx.Err() == nil {
-		e.do(func(now model.Instant) {
+		e.submit(func(now model.Instant) {
 			loads := e.engine.Loads(now)
 			e.loads.Store(&loads)
-			e.post(e.engine.PeerUpdates(now), e.engine.TakeAssignments(copiesPerShare))
+			e.sendToPeers(e.engine.PeerUpdates(now), e.engine.TakeAssignments(assignmentsPerRound))
 		})
-		sleep(ctx, shareInterval)
+		sleep(ctx, disseminateInterval)
 	}
 	return nil
 }
 
-// tellNow tells co-owners at once of a restarted upstream.
-func (e *Entry) tellNow() {
-	e.post(e.engine.PeerUpdates(e.now()), nil)
+// sendUrgentUpdates reports the restart of an upstream to the co-owners of its slots without waiting for the next round of disseminate.
+func (e *Entry) sendUrgentUpdates() {
+	e.sendToPeers(e.engine.PeerUpdates(e.now()), nil)
 }
 
-// post sends letters and copies without waiting for them.
-func (e *Entry) post(letters []engine.PeerUpdate, copies []engine.FlowAssignment) {
-	for _, l := range letters {
+// sendToPeers sends updates and assignments in the background. Assignments that cannot be sent are queued again.
+func (e *Entry) sendToPeers(updates []engine.PeerUpdate, assignments []engine.FlowAssignment) {
+	for _, u := range updates {
 		go func() {
-			if e.mesh.SendPeerUpdate(context.Background(), l) != nil {
+			if e.mesh.SendPeerUpdate(context.Background(), u) != nil {
 				e.counts.Counter("mesh.tell_failed").Inc(1)
 			}
 		}()
 	}
 	byPeer := map[model.InstanceID][]engine.FlowAssignment{}
-	for _, c := range copies {
-		byPeer[c.Peer] = append(byPeer[c.Peer], c)
+	for _, a := range assignments {
+		byPeer[a.Peer] = append(byPeer[a.Peer], a)
 	}
 	for peer, batch := range byPeer {
 		go func() {
 			if e.mesh.SendAssignments(context.Background(), peer, batch) != nil {
 				e.counts.Counter("mesh.copy_failed").Inc(1)
-				e.do(func(model.Instant) { e.engine.RequeueAssignments(batch) })
+				e.submit(func(model.Instant) { e.engine.RequeueAssignments(batch) })
 			}
 		}()
 	}
--- a/internal/run/entry/sockets.go
+++ b/internal/run/entry/sockets.go
@@ -14,34 +14,35 @@
 
 const maxDatagram = 64 << 10
 
-// readFront takes callers' packets from the fabric.
+// readFront reads callers' packets from the fabric and clears the header fields that only peers may set.
 func (e *Entry) readFront(ctx context.Context) error {
 	return e.read(ctx, e.front, func(f frame.Frame, _ netip.AddrPort) {
 		f.Hops, f.Upstream = 0, ""
-		e.takePacket(f)
+		e.enqueuePacket(f)
 	})
 }
 
-// readBack takes answers from upstreams.
+// readBack reads answers from upstreams.
 func (e *Entry) readBack(ctx context.Context) error {
 	return e.read(ctx, e.back, func(f frame.Frame, from netip.AddrPort) {
-		e.takeAnswer(f, from, false)
+		e.enqueueAnswer(f, from, false)
 	})
 }
 
-// readHand takes packets and answers from peers.
-func (e *Entry) readHand(ctx context.Context) error {
-	return e.read(ctx, e.hand, func(f frame.Frame, _ netip.AddrPort) {
+// readHandOff reads packets and answers that peers hand off to this instance.
+func (e *Entry) readHandOff(ctx context.Context) error {
+	return e.read(ctx, e.handOff, func(f frame.Frame, _ netip.AddrPort) {
 		if f.From.IsValid() {
-			e.takeAnswer(f, f.From, true)
+			e.enqueueAnswer(f, f.From, true)
 			return
 		}
 		f.Hops = max(f.Hops, 1)
-		e.takePacket(f)
+		e.enqueuePacket(f)
 	})
 }
 
-func (e *Entry) read(ctx context.Context, conn *net.UDPConn, take func(frame.Frame, netip.AddrPort)) error {
+// read parses datagrams from conn until ctx is cancelled. Each frame gets its own copy of the datagram, as the buffer is reused.
+func (e *Entry) read(ctx context.Context, conn *net.UDPConn, handle func(frame.Frame, netip.AddrPort)) error {
 	buf := make([]byte, maxDatagram)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
@@ -56,24 +57,24 @@
 		copy(raw, buf[:n])
 		f, err := frame.Parse(raw)
 		if err != nil {
-			e.tally.drop(model.ReasonMalformed)
+			e.counters.drop(model.ReasonMalformed)
 			continue
 		}
-		take(f, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+		handle(f, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 	}
 }
 
-// takePacket classifies a caller's packet and passes it to the decide duty.
-func (e *Entry) takePacket(f frame.Frame) {
+// enqueuePacket classifies a caller's packet and queues it for the decision loop; it drops the packet if the queue is full.
+func (e *Entry) enqueuePacket(f frame.Frame) {
 	flow := model.FlowKey{Caller: f.Source, Service: f.Dest}
 	p, err := e.classify(flow, f.Payload)
 	if err != nil {
-		e.tally.drop(model.ReasonMalformed)
+		e.counters.drop(model.ReasonMalformed)
 		return
 	}
 	p.Hops, p.Upstream = f.Hops, f.Upstream
 	if !e.packets.Offer(p) {
-		e.tally.drop(model.ReasonRingFull)
+		e.counters.drop(model.ReasonRingFull)
 	}
 }
 
@@ -84,17 +85,18 @@
 	return coap.ParsePacket(flow, raw)
 }
 
-// takeAnswer classifies an upstream's datagram and passes it to the decide duty.
-func (e *Entry) takeAnswer(f frame.Frame, from netip.AddrPort, home bool) {
+// enqueueAnswer classifies an upstream's datagram and queues it for the decision loop; it drops the datagram if the queue is full. handedOff
+// is set if the datagram came by way of a peer.
+func (e *Entry) enqueueAnswer(f frame.Frame, from netip.AddrPort, handedOff bool) {
 	flow := model.FlowKey{Caller: f.Dest, Service: f.Source}
 	a, err := e.classifyAnswer(flow, f.Payload)
 	if err != nil {
-		e.tally.drop(model.ReasonMalformed)
+		e.counters.drop(model.ReasonMalformed)
 		return
 	}
-	a.From, a.Boot, a.HandedOff = from, f.Boot, home
+	a.From, a.Boot, a.HandedOff = from, f.Boot, handedOff
 	if !e.answers.Offer(a) {
-		e.tally.drop(model.ReasonRingFull)
+		e.counters.drop(model.ReasonRingFull)
 	}
 }
 
@@ -105,7 +107,7 @@
 	return coap.ParseAnswer(flow, raw)
 }
 
-// send is the duty that writes datagrams.
+// send writes the queued datagrams.
 func (e *Entry) send(ctx context.Context) error {
 	for {
 		d, ok := e.out.Take(ctx)
@@ -113,7 +115,7 @@
 			return nil
 		}
 		if _, err := d.conn.WriteToUDPAddrPort(d.raw, d.to); err != nil && ctx.Err() == nil {
-			e.tally.drop(model.ReasonSendFailed)
+			e.counters.drop(model.ReasonSendFailed)
 		}
 	}
 }
--- /dev/null
+++ b/internal/run/relay/bootstrap.go
@@ -0,0 +1,63 @@
+package relay
+
+import (
+	"context"
+	"sync"
+
+	"hawthorncourse/internal/core/model"
+)
+
+// bootstrap lets an instance serve before its first read is complete, as soon as it has the routes, the failure domains that are out, and
+// the first page of the upstreams. Packets of flows to the remaining upstreams are dropped until the read is complete; callers retransmit
+// them.
+type bootstrap struct {
+	relay *Relay
+	ctx   context.Context
+
+	mu sync.Mutex
+	// The fields below are guarded by mu.
+
+	table *model.RouteTable
+	// out holds the failure domains that are out; outRead is set once they have been read, as the list may be empty.
+	out     []model.DomainID
+	outRead bool
+	// pending holds upstreams that the engine does not have yet.
+	pending []model.Registration
+}
+
+// routes adds the route table.
+func (b *bootstrap) routes(t model.RouteTable) {
+	b.update(func() { b.table = &t })
+}
+
+// domainsOut adds the failure domains that are out.
+func (b *bootstrap) domainsOut(list []model.DomainID) {
+	b.update(func() { b.out, b.outRead = list, true })
+}
+
+// upstreams adds a page of the upstreams.
+func (b *bootstrap) upstreams(list []model.Registration) {
+	b.update(func() { b.pending = append(b.pending, list...) })
+}
+
+// update runs set. Once there is something of every kind, it passes what is new to the engine and makes the instance ready. It does nothing if
+// b is nil, which is the case for an instance that is already serving.
+func (b *bootstrap) update(set func()) {
+	if b == nil {
+		return
+	}
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	set()
+	if b.table == nil || !b.outRead || len(b.pending) == 0 {
+		return
+	}
+	r, table, out, pending := b.relay, *b.table, b.out, b.pending
+	b.pending = nil
+	r.submit(b.ctx, func(now model.Instant) {
+		r.engine.Roster().SetOut(now, out)
+		r.engine.Roster().Add(now, pending)
+		r.engine.SetRoutes(table)
+		r.startServing(b.ctx, now)
+	})
+}
--- a/internal/run/relay/decide.go
+++ b/internal/run/relay/decide.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// tickInterval bounds how late lapsed entries are noticed; each wake-up costs processor time.
+	// tickInterval bounds how late expired entries are noticed; a shorter interval costs processor time.
 	tickInterval = 100 * time.Millisecond
-	// ringPause is how long a duty waits for room in a full ring.
-	ringPause = 5 * time.Millisecond
-	// largestDatagram is above the largest packet of any codec, in bytes.
-	largestDatagram = 2048
+	// ringRetryDelay is how long a goroutine waits before it retries a full queue.
+	ringRetryDelay = 5 * time.Millisecond
+	// maxDatagram exceeds the largest packet of any codec, in bytes.
+	maxDatagram = 2048
 )
 
-// read is the duty that takes packets from the socket.
+// read parses packets from the socket and queues them for the decision loop.
 func (r *Relay) read(ctx context.Context) error {
-	buf := make([]byte, largestDatagram)
+	buf := make([]byte, maxDatagram)
 	for {
 		n, _, err := r.packets.ReadFromUDPAddrPort(buf)
 		switch {
@@ -32,66 +32,67 @@
 		case errors.Is(err, net.ErrClosed):
 			return err
 		case err != nil:
-			// An open socket recovers: what one packet met says nothing of the next.
-			r.tally.drop(model.ReasonReceiveFailed)
-			sleep(ctx, ringPause)
+			// The error concerns one packet only: an open socket can still receive the next.
+			r.counters.drop(model.ReasonReceiveFailed)
+			sleep(ctx, ringRetryDelay)
 			continue
 		}
 		seg, err := r.cfg.Codec.Parse(append([]byte(nil), buf[:n]...))
 		if err != nil {
-			r.tally.drop(model.ReasonMalformed)
+			r.counters.drop(model.ReasonMalformed)
 			continue
 		}
-		if !r.arrived.Offer(seg) {
-			r.tally.drop(model.ReasonRingFull)
+		if !r.segments.Offer(seg) {
+			r.counters.drop(model.ReasonRingFull)
 		}
 	}
 }
 
-// decide is the duty that drives the engine; nothing else touches it.
+// decide is the decision loop, the only goroutine that uses the engine. It handles packets, commands and timers in turn.
 func (r *Relay) decide(ctx context.Context) error {
 	timer := time.NewTimer(tickInterval)
 	defer timer.Stop()
 	r.stall.expect(r.now(), tickInterval)
 	for {
 		select {
-		case seg := <-r.arrived.Items():
-			r.packet(ctx, &seg)
-			if r.arrived.Len() > 0 {
-				// Answers that wait come before timers that would call them missing.
+		case seg := <-r.segments.Items():
+			r.handlePacket(ctx, &seg)
+			if r.segments.Len() > 0 {
+				// Queued answers are handled before the timers that would count them as missing.
 				continue
 			}
 		case c := <-r.commands.Items():
 			c(r.now())
 		case <-timer.C:
 			now := r.now()
-			r.stood(now, r.stall.woke(now))
+			r.handleStall(now, r.stall.timerFired(now))
 			r.act(ctx, now, r.engine.Tick(now))
-			r.summarise(now)
-			r.measure()
-			r.gauge(now)
+			r.logOmitted(now)
+			r.recordSamples()
+			r.updateGauges(now)
 		case <-ctx.Done():
 			return nil
 		}
-		r.report(r.now())
-		r.collectDoubts()
+		r.logEvents(r.now())
+		r.collectSuspicions()
 		wait := r.untilTick()
 		r.stall.expect(r.now(), wait)
 		timer.Reset(wait)
 	}
 }
 
-// stood notes that the process stood still: silence meanwhile was its own, and others may have its number.
-func (r *Relay) stood(now model.Instant, late time.Duration) {
-	if late > 0 {
-		r.stalled.Store(int64(now))
+// handleStall records a stall of the process, so that probes that time out because of it are inconclusive. After a stall longer than share.CallMargin the ordinal is
+// given up, as it may have been assigned to another instance.
+func (r *Relay) handleStall(now model.Instant, delay time.Duration) {
+	if delay > 0 {
+		r.lastStall.Store(int64(now))
 	}
-	if late > share.CallMargin {
+	if delay > share.CallMargin {
 		r.engine.SetOrdinal(model.Ordinal{}, 0)
 	}
 }
 
-// untilTick returns the time to the engine's next handshake timer, or to the next regular tick.
+// untilTick returns the time to the engine's next deadline, at most tickInterval.
 func (r *Relay) untilTick() time.Duration {
 	at, ok := r.engine.NextDeadline()
 	if !ok {
@@ -100,7 +101,8 @@
 	return min(max(at.Sub(r.now()), 0), tickInterval)
 }
 
-func (r *Relay) packet(ctx context.Context, seg *model.Segment) {
+// handlePacket passes a packet to the engine, or drops it if it was queued during a long stall.
+func (r *Relay) handlePacket(ctx context.Context, seg *model.Segment) {
 	now := r.now()
 	r.lastPacket.Store(int64(now))
 	if r.stall.stale(now) {
@@ -110,11 +112,11 @@
 	r.act(ctx, now, r.engine.Packet(now, seg))
 }
 
-// act carries out the engine's decisions.
+// act carries out, counts and logs the engine's actions.
 func (r *Relay) act(ctx context.Context, now model.Instant, actions []direct.Action) {
 	for i := range actions {
 		a := &actions[i]
-		r.tally.count(a.Verb, a.Reason)
+		r.counters.count(a.Verb, a.Reason)
 		r.record(now, a)
 		switch a.Verb {
 		case model.VerbForward:
@@ -127,22 +129,23 @@
 			r.probe(ctx, a.Upstream, a.Timeout)
 		default:
 			if a.Reason == model.ReasonTagUnknown {
-				r.askEarly()
+				r.requestRefresh()
 			}
 		}
 	}
 }
 
+// send sends the datagram in the send buffer.
 func (r *Relay) send(to netip.AddrPort) {
 	if _, err := r.packets.WriteToUDPAddrPort(r.datagram, to); err != nil {
-		r.tally.drop(model.ReasonSendFailed)
+		r.counters.drop(model.ReasonSendFailed)
 	}
 }
 
-// askEarly asks the follow duty to read before its time.
-func (r *Relay) askEarly() {
+// requestRefresh asks the follow goroutine to refresh the snapshot early.
+func (r *Relay) requestRefresh() {
 	select {
-	case r.nudge <- struct{}{}:
+	case r.refresh <- struct{}{}:
 	default:
 	}
 }
--- a/internal/run/relay/follow.go
+++ b/internal/run/relay/follow.go
@@ -13,258 +13,258 @@
 )
 
 const (
-	// nudgePause is the least time between two reads that packets ask for.
-	nudgePause = 300 * time.Millisecond
-	// paceJitter spreads the reads of instances that started together.
-	paceJitter = 50 * time.Millisecond
-	// seedDelay is how long the store has to answer at the start before others are asked.
+	// minRefreshInterval is the minimum time between two reads that are triggered by packets.
+	minRefreshInterval = 300 * time.Millisecond
+	// pollJitter spreads the reads of instances that started at the same time.
+	pollJitter = 50 * time.Millisecond
+	// seedDelay is how long the store may take to answer after the start before seeds are polled.
 	seedDelay = 250 * time.Millisecond
-	// seedPause is the time between two rounds of questions to seeds.
-	seedPause = 500 * time.Millisecond
-	// readLimit is above the time that the lists of the planned size take over the slowest link (10 Mbit/s).
-	readLimit = 10 * time.Second
+	// seedRetryInterval is the time between two rounds of polls of the seeds.
+	seedRetryInterval = 500 * time.Millisecond
+	// readTimeout bounds one read of the store. It exceeds the time that lists of the planned size take over the slowest link, 10 Mbit/s.
+	readTimeout = 10 * time.Second
 )
 
-// errSilent is why a read ends whose answer does not come.
-var errSilent = eris.New("the store has sent nothing for too long")
+// errStoreIdle cancels a read of the store that receives no data within its idle timeout.
+var errStoreIdle = eris.New("platform store sent no data within the idle timeout")
 
-// follow is the duty that keeps the engine's knowledge young.
+// follow keeps the snapshot up to date: it carries out the scheduler's steps until ctx is cancelled.
 func (r *Relay) follow(ctx context.Context) error {
-	k := r.keeper
+	s := r.scheduler
 	f := &follower{Relay: r}
 	for ctx.Err() == nil {
-		f.takeUp(ctx)
-		seat := k.ReaderRecord()
-		r.seat.Store(&seat)
-		step, wait := k.Next(r.now())
-		r.pause(ctx, wait)
+		f.applyLimits(ctx)
+		reader := s.ReaderRecord()
+		r.reader.Store(&reader)
+		step, wait := s.Next(r.now())
+		r.waitForStep(ctx, wait)
 		if ctx.Err() != nil {
 			return nil
 		}
-		reading := k.IsReader()
+		wasReader := s.IsReader()
 		switch step {
 		case fresh.StepPollReader:
-			f.askReader(ctx)
+			f.pollReader(ctx)
 		case fresh.StepClaimRole:
 			f.claim(ctx)
 		default:
 			f.readStore(ctx)
 		}
-		if k.IsReader() != reading {
-			r.part("platform").With("reading", k.IsReader()).With("holder", k.ReaderRecord().Holder).Info("Who reads the platform's store for the failure domain has changed.")
+		if s.IsReader() != wasReader {
+			r.logger("platform").With("reading", s.IsReader()).With("holder", s.ReaderRecord().Holder).Info("The instance has become or ceased to be the reader of its failure domain.")
 		}
 	}
 	return nil
 }
 
-// follower is the state of the follow duty.
+// follower is the state of the follow goroutine.
 type follower struct {
 	*Relay
-	// lost is set while the store does not answer here.
-	lost bool
+	// storeDown is set while the store does not answer this instance.
+	storeDown bool
 }
 
-// pause waits until the next step is due or asked for.
-func (r *Relay) pause(ctx context.Context, d time.Duration) {
+// waitForStep waits until the next step is due. A refresh request ends the wait early, but not before minRefreshInterval.
+func (r *Relay) waitForStep(ctx context.Context, d time.Duration) {
 	if d == 0 {
 		return
 	}
-	early := min(d, nudgePause)
-	sleep(ctx, early)
-	t := time.NewTimer(max(d-early-rand.N(paceJitter), 0))
+	minWait := min(d, minRefreshInterval)
+	sleep(ctx, minWait)
+	t := time.NewTimer(max(d-minWait-rand.N(pollJitter), 0))
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-r.nudge:
+	case <-r.refresh:
 	case <-ctx.Done():
 	}
 }
 
-// readStore reads the seats, whose answer tells the store's revision, and all the rest if anything has changed.
+// readStore reads the store and reports the outcome to the scheduler. If this instance is the reader, it also assigns itself an ordinal.
 func (f *follower) readStore(ctx context.Context) {
 	start := f.now()
-	work, cancel := f.patient(ctx, f.keeper.StoreTimeout())
+	readCtx, cancel := f.withIdleTimeout(ctx, f.scheduler.StoreTimeout())
 	defer cancel()
-	next, seats, err := f.readKnowledge(work)
+	next, records, err := f.readSnapshot(readCtx)
 	now := f.now()
 	if ctx.Err() != nil {
 		return
 	}
-	f.noteStore(err)
+	f.logStoreState(err)
 	if err != nil {
-		f.keeper.FinishStoreRead(now, start, model.ReaderRecord{}, false)
+		f.scheduler.FinishStoreRead(now, start, model.ReaderRecord{}, false)
 		return
 	}
 	next.Age, next.GraceLeft = now.Sub(start), 0
-	f.learn(ctx, next)
-	f.keeper.FinishStoreRead(now, start, f.ownSeat(seats), true)
-	f.places.confirm(now, start, f.keeper.IsReader())
-	if f.keeper.IsReader() {
-		f.take(ctx, f.places.Ordinal(f.cfg.Instance))
+	f.applySnapshot(ctx, next)
+	f.scheduler.FinishStoreRead(now, start, f.ownRecord(records), true)
+	f.ordinals.confirm(now, start, f.scheduler.IsReader())
+	if f.scheduler.IsReader() {
+		f.setOrdinal(ctx, f.ordinals.Ordinal(f.cfg.Instance))
 	}
 }
 
-// take lets the engine use the instance's number until it may belong to another.
-func (f *follower) take(ctx context.Context, p model.Ordinal) {
-	until := f.now().Add(f.places.life())
-	f.place.Store(&p)
-	f.do(ctx, func(model.Instant) { f.engine.SetOrdinal(p, until) })
+// setOrdinal makes the engine use an ordinal until it expires; after that it may be assigned to another instance.
+func (f *follower) setOrdinal(ctx context.Context, ordinal model.Ordinal) {
+	until := f.now().Add(f.ordinals.ordinalTTL())
+	f.ordinal.Store(&ordinal)
+	f.submit(ctx, func(model.Instant) { f.engine.SetOrdinal(ordinal, until) })
 }
 
-// patient returns a context that ends when the store has sent nothing for the time, or after readLimit.
-func (r *Relay) patient(ctx context.Context, silence time.Duration) (context.Context, context.CancelFunc) {
-	ctx, stop := context.WithTimeout(ctx, readLimit)
-	work, fail := context.WithCancelCause(ctx)
-	began := time.Now()
+// withIdleTimeout returns a context that is cancelled when the store has sent no data for idleTimeout, and in any case after readTimeout.
+func (r *Relay) withIdleTimeout(ctx context.Context, idleTimeout time.Duration) (context.Context, context.CancelFunc) {
+	ctx, stop := context.WithTimeout(ctx, readTimeout)
+	readCtx, cancel := context.WithCancelCause(ctx)
+	start := time.Now()
 	go func() {
-		quiet := time.Duration(0)
-		for quiet < silence && work.Err() == nil {
-			sleep(work, silence-quiet)
-			quiet = min(r.cfg.SinceStoreResponse(), time.Since(began))
+		idle := time.Duration(0)
+		for idle < idleTimeout && readCtx.Err() == nil {
+			sleep(readCtx, idleTimeout-idle)
+			idle = min(r.cfg.SinceStoreResponse(), time.Since(start))
 		}
-		fail(errSilent)
+		cancel(errStoreIdle)
 	}()
-	return work, stop
+	return readCtx, stop
 }
 
-// noteStore logs when the store is lost and when it is back.
-func (f *follower) noteStore(err error) {
-	log := f.part("platform")
+// logStoreState logs when the store stops answering and when it answers again.
+func (f *follower) logStoreState(err error) {
+	log := f.logger("platform")
 	switch {
-	case err != nil && !f.lost:
-		log.With("error", err).Warn("The platform's store does not answer; what is known stays in force.")
-	case err == nil && f.lost:
+	case err != nil && !f.storeDown:
+		log.With("error", err).Warn("The platform's store does not answer; the last snapshot stays in use.")
+	case err == nil && f.storeDown:
 		log.Info("The platform's store answers again.")
 	}
-	f.lost = err != nil
+	f.storeDown = err != nil
 }
 
-// ownSeat returns the seat of the instance's failure domain.
-func (r *Relay) ownSeat(seats []model.ReaderRecord) model.ReaderRecord {
-	for _, s := range seats {
-		if s.Domain == r.cfg.Domain {
-			return s
+// ownRecord returns the reader record of this instance's failure domain.
+func (r *Relay) ownRecord(records []model.ReaderRecord) model.ReaderRecord {
+	for _, record := range records {
+		if record.Domain == r.cfg.Domain {
+			return record
 		}
 	}
 	return model.ReaderRecord{Domain: r.cfg.Domain}
 }
 
-// askReader waits for the next word of the instance that reads for the failure domain.
-func (f *follower) askReader(ctx context.Context) {
-	seat := f.keeper.ReaderRecord()
-	k, err := f.ask(ctx, seat.Control, f.keeper.ReaderTimeout())
+// pollReader waits for the next update from the reader of the failure domain.
+func (f *follower) pollReader(ctx context.Context) {
+	reader := f.scheduler.ReaderRecord()
+	snap, err := f.fetch(ctx, reader.Control, f.scheduler.ReaderTimeout())
 	if ctx.Err() != nil {
 		return
 	}
 	if err != nil {
 		f.counts.Counter("platform.reader_failed").Inc(1)
-		f.part("platform").With("holder", seat.Holder).With("error", err).Warn("The instance that reads for the failure domain does not answer.")
+		f.logger("platform").With("holder", reader.Holder).With("error", err).Warn("The reader of the failure domain does not answer; reading the platform's store instead.")
 	}
-	f.keeper.FinishReaderPoll(f.now(), k.Age, err == nil)
+	f.scheduler.FinishReaderPoll(f.now(), snap.Age, err == nil)
 	if err == nil {
-		f.take(ctx, k.Ordinal)
+		f.setOrdinal(ctx, snap.Ordinal)
 	}
 }
 
-// ask takes over what another instance knows if it is newer.
-func (r *Relay) ask(ctx context.Context, peer netip.AddrPort, wait time.Duration) (model.Snapshot, error) {
-	k, err := r.share.Poll(ctx, peer, r.knowledge(), wait)
+// fetch polls another instance and applies the snapshot that it returns.
+func (r *Relay) fetch(ctx context.Context, peer netip.AddrPort, wait time.Duration) (model.Snapshot, error) {
+	snap, err := r.share.Poll(ctx, peer, r.currentSnapshot(), wait)
 	if err != nil {
-		return k, err
+		return snap, err
 	}
-	r.learn(ctx, k)
-	return k, nil
+	r.applySnapshot(ctx, snap)
+	return snap, nil
 }
 
-// claim tries to become the instance that reads for the failure domain.
+// claim tries to become the reader of the failure domain.
 func (f *follower) claim(ctx context.Context) {
-	seat := f.keeper.ReaderRecord()
-	seat.Domain, seat.Holder, seat.Control = f.cfg.Domain, f.cfg.Instance, f.cfg.Control
-	work, cancel := context.WithTimeout(ctx, f.keeper.StoreTimeout())
+	record := f.scheduler.ReaderRecord()
+	record.Domain, record.Holder, record.Control = f.cfg.Domain, f.cfg.Instance, f.cfg.Control
+	claimCtx, cancel := context.WithTimeout(ctx, f.scheduler.StoreTimeout())
 	defer cancel()
-	now, err := f.cfg.ReaderRecords.Claim(work, seat)
+	current, err := f.cfg.ReaderRecords.Claim(claimCtx, record)
 	if err != nil {
 		f.counts.Counter("platform.claim_failed").Inc(1)
-		f.part("platform").With("error", err).Warn("The seat of the failure domain's reader was not taken.")
+		f.logger("platform").With("error", err).Warn("Claiming the role of reader of the failure domain failed; the claim is retried while the role is vacant.")
 	} else {
 		f.counts.Counter("platform.claims").Inc(1)
 	}
-	f.keeper.FinishClaim(f.now(), now, err == nil)
+	f.scheduler.FinishClaim(f.now(), current, err == nil)
 }
 
-// askSeeds is the duty that asks other instances at the start if the store does not answer.
-func (r *Relay) askSeeds(ctx context.Context) error {
+// pollSeeds fetches a first snapshot from other instances if the store does not answer at the start. It returns once there is a snapshot.
+func (r *Relay) pollSeeds(ctx context.Context) error {
 	sleep(ctx, seedDelay)
-	for ctx.Err() == nil && r.knowledge().Revision == 0 {
+	for ctx.Err() == nil && r.currentSnapshot().Revision == 0 {
 		if r.cfg.SinceStoreResponse() < seedDelay {
-			// The store is telling all that there is, and its link is wider than that of a seed which everybody asks.
+			// The store is sending the lists. Its link is faster than that of a seed, which all starting instances poll.
 			sleep(ctx, seedDelay)
 			continue
 		}
 		for _, seed := range r.limits.Load().Seeds {
-			if seed == r.cfg.Control || r.knowledge().Revision != 0 {
+			if seed == r.cfg.Control || r.currentSnapshot().Revision != 0 {
 				continue
 			}
-			if _, err := r.ask(ctx, seed, 0); err != nil {
+			if _, err := r.fetch(ctx, seed, 0); err != nil {
 				r.counts.Counter("platform.seed_failed").Inc(1)
 			}
 		}
-		sleep(ctx, seedPause)
+		sleep(ctx, seedRetryInterval)
 	}
 	return nil
 }
 
-func (r *Relay) knowledge() model.Snapshot {
-	r.knownMu.Lock()
-	defer r.knownMu.Unlock()
-	return r.known
+func (r *Relay) currentSnapshot() model.Snapshot {
+	r.snapshotMu.Lock()
+	defer r.snapshotMu.Unlock()
+	return r.snapshot
 }
 
-// learn puts knowledge in force unless newer is, and tells those that ask here.
-func (r *Relay) learn(ctx context.Context, k model.Snapshot) {
-	r.knownMu.Lock()
-	defer r.knownMu.Unlock()
-	if k.Revision < r.known.Revision {
+// applySnapshot makes a snapshot current, unless the current one is newer, and publishes it to the instances that poll this one.
+func (r *Relay) applySnapshot(ctx context.Context, snap model.Snapshot) {
+	r.snapshotMu.Lock()
+	defer r.snapshotMu.Unlock()
+	if snap.Revision < r.snapshot.Revision {
 		return
 	}
-	k = k.KeepNewer(r.known)
+	snap = snap.KeepNewer(r.snapshot)
 	arrived := r.now()
-	k.GraceLeft = r.trust.Confirm(arrived, arrived.Add(-k.Age), k.GraceLeft)
-	newer := k.Digest() != r.known.Digest()
-	first := r.known.Revision == 0
-	r.known = k
-	r.revision.Store(uint64(k.Revision))
-	r.confirmed.Store(int64(arrived.Add(-k.Age)))
-	r.share.Publish(k)
-	r.do(ctx, func(now model.Instant) {
-		r.engine.Roster().ExtendGrace(now.Add(k.GraceLeft))
+	snap.GraceLeft = r.outages.Confirm(arrived, arrived.Add(-snap.Age), snap.GraceLeft)
+	newer := snap.Digest() != r.snapshot.Digest()
+	first := r.snapshot.Revision == 0
+	r.snapshot = snap
+	r.revision.Store(uint64(snap.Revision))
+	r.confirmedAt.Store(int64(arrived.Add(-snap.Age)))
+	r.share.Publish(snap)
+	r.submit(ctx, func(now model.Instant) {
+		r.engine.Roster().ExtendGrace(now.Add(snap.GraceLeft))
 		if newer {
-			r.install(now, &k)
+			r.installSnapshot(now, &snap)
 		}
-		r.engine.Roster().Confirm(now, arrived.Add(-k.Age))
+		r.engine.Roster().Confirm(now, arrived.Add(-snap.Age))
 		if first {
-			r.open(ctx, now)
+			r.startServing(ctx, now)
 		}
 	})
 }
 
-// open lets the instance serve, if it does not yet; it is called by the decide duty.
-func (r *Relay) open(ctx context.Context, now model.Instant) {
-	if r.opened {
+// startServing makes the instance ready. It does nothing after the first call. It runs in the decision loop.
+func (r *Relay) startServing(ctx context.Context, now model.Instant) {
+	if r.engineReady {
 		return
 	}
-	r.opened = true
+	r.engineReady = true
 	r.act(ctx, now, r.engine.SetReady(now))
 	r.serving.Store(!r.stopping.Load())
-	r.part("relay").With("upstreams", r.engine.Roster().Len()).With("routesRevision", r.engine.Revision()).Info("Instance is ready.")
+	r.logger("relay").With("upstreams", r.engine.Roster().Len()).With("routesRevision", r.engine.Revision()).Info("Instance is ready and serves traffic.")
 }
 
-// install is called by the decide duty.
-func (r *Relay) install(now model.Instant, k *model.Snapshot) {
-	r.engine.Roster().SetOut(now, k.Out)
-	r.engine.Roster().Sync(now, k.Upstreams)
-	if r.engine.SetRoutes(k.Routes) {
-		r.part("platform").With("version", k.Routes.Version).With("revision", k.Routes.Revision).With("routes", len(k.Routes.Routes)).
-			With("age", k.Age).Info("A configuration is in force.")
+// installSnapshot passes a changed snapshot to the engine. It runs in the decision loop.
+func (r *Relay) installSnapshot(now model.Instant, snap *model.Snapshot) {
+	r.engine.Roster().SetOut(now, snap.Out)
+	r.engine.Roster().Sync(now, snap.Upstreams)
+	if r.engine.SetRoutes(snap.Routes) {
+		r.logger("platform").With("version", snap.Routes.Version).With("revision", snap.Routes.Revision).With("routes", len(snap.Routes.Routes)).
+			With("age", snap.Age).Info("A new route configuration is active.")
 	}
 }
--- a/internal/run/relay/limits.go
+++ b/internal/run/relay/limits.go
@@ -11,53 +11,55 @@
 
 // Limits holds the settings that may change while an instance runs.
 type Limits struct {
-	// Domains is the number of failure domains; zero for unknown.
+	// Domains is the number of failure domains; zero if unknown.
 	Domains int
-	// Seeds holds control addresses of instances that may know more at the start; they may be stale.
+	// Seeds holds control addresses of instances that are polled for a snapshot at the start if the store does not answer. Addresses may be
+	// out of date.
 	Seeds []netip.AddrPort
-	// MaxStaleness is the time in which any change must be in force.
+	// MaxStaleness is the time within which any change in the platform's store must take effect.
 	MaxStaleness time.Duration
-	// StopWithin is the time in which a planned stop must end.
+	// StopWithin is the time within which a graceful shutdown must be complete.
 	StopWithin time.Duration
-	// LinkMbps is the speed of the instance's own link in Mbit/s; zero for unknown.
+	// LinkMbps is the speed of the instance's own link in Mbit/s; zero if unknown.
 	LinkMbps float64
-	// FlowLife is the longest life of a flow.
+	// FlowLife is the maximum lifetime of a flow.
 	FlowLife time.Duration
-	// ColdFactor multiplies the rate that a cold upstream bears.
+	// ColdFactor multiplies the rate of new flows that a cold upstream gets.
 	ColdFactor float64
-	// ColdSlack is the number of flows a second that a cold upstream may get beyond its rate.
+	// ColdSlack is the number of new flows per second that a cold upstream may get beyond its rate.
 	ColdSlack float64
 }
 
-// engine returns the limits that decisions depend on.
-func (l *Limits) engine() direct.Limits {
+// engineLimits returns the limits that the engine needs.
+func (l *Limits) engineLimits() direct.Limits {
 	return direct.Limits{Domains: l.Domains, FlowLife: l.FlowLife, ColdFactor: l.ColdFactor, ColdSlack: l.ColdSlack}
 }
 
-// SetLimits puts other limits in force while the instance runs.
+// SetLimits replaces the limits while the instance runs.
 func (r *Relay) SetLimits(ctx context.Context, l Limits) {
 	r.counts.Counter("relay.reload").Inc(1)
-	r.part("relay").With("changeBy", l.MaxStaleness).With("stopWithin", l.StopWithin).With("linkMbps", l.LinkMbps).With("flowLife", l.FlowLife).
-		With("coldFactor", l.ColdFactor).With("coldSlack", l.ColdSlack).With("seeds", l.Seeds).Info("Changed settings are in force.")
+	r.logger("relay").With("changeBy", l.MaxStaleness).With("stopWithin", l.StopWithin).With("linkMbps", l.LinkMbps).With("flowLife", l.FlowLife).
+		With("coldFactor", l.ColdFactor).With("coldSlack", l.ColdSlack).With("seeds", l.Seeds).Info("Changed settings have been applied.")
 	r.limits.Store(&l)
-	r.changed.Store(&l)
+	r.pendingLimits.Store(&l)
 	r.share.SetLinkMbps(l.LinkMbps)
-	r.do(ctx, func(model.Instant) { r.engine.SetLimits(l.engine()) })
+	r.submit(ctx, func(model.Instant) { r.engine.SetLimits(l.engineLimits()) })
 }
 
-// takeUp lets the follow duty keep to limits that have changed. Numbers were given out for the times of before.
-func (f *follower) takeUp(ctx context.Context) {
-	l := f.changed.Swap(nil)
+// applyLimits applies changed limits to the scheduler. If the staleness bound has changed, all ordinals are reset, as they were assigned with
+// the old time limits.
+func (f *follower) applyLimits(ctx context.Context) {
+	l := f.pendingLimits.Swap(nil)
 	if l == nil {
 		return
 	}
-	f.keeper.SetLinkMbps(l.LinkMbps)
-	if !f.keeper.SetMaxStaleness(l.MaxStaleness) {
+	f.scheduler.SetLinkMbps(l.LinkMbps)
+	if !f.scheduler.SetMaxStaleness(l.MaxStaleness) {
 		return
 	}
-	f.knownMu.Lock()
-	f.trust.SetMaxStaleness(l.MaxStaleness)
-	f.knownMu.Unlock()
-	f.places.reset(f.keeper)
-	f.take(ctx, model.Ordinal{})
+	f.snapshotMu.Lock()
+	f.outages.SetMaxStaleness(l.MaxStaleness)
+	f.snapshotMu.Unlock()
+	f.ordinals.reset(f.scheduler)
+	f.setOrdinal(ctx, model.Ordinal{})
 }
--- a/internal/run/relay/probe.go
+++ b/internal/run/relay/probe.go
@@ -12,12 +12,13 @@
 	"hawthorncourse/internal/core/roster"
 )
 
-// probe opens a connection to an upstream and closes it: that occupies none of its slots.
-func (r *Relay) probe(ctx context.Context, u *roster.Upstream, wait time.Duration) {
+// probe checks in the background whether an upstream accepts a TCP connection, which takes none of its slots. A timeout is inconclusive if
+// the process was stalled meanwhile.
+func (r *Relay) probe(ctx context.Context, u *roster.Upstream, timeout time.Duration) {
 	address := u.Address.String()
 	go func() {
 		start := r.now()
-		dialer := net.Dialer{Timeout: wait}
+		dialer := net.Dialer{Timeout: timeout}
 		conn, err := dialer.DialContext(ctx, "tcp", address)
 		outcome := health.OutcomeAnswered
 		switch {
@@ -25,11 +26,11 @@
 			_ = conn.Close()
 		case errors.Is(err, syscall.ECONNREFUSED):
 			outcome = health.OutcomeFailed
-		case model.Instant(r.stalled.Load()) >= start || r.now().Sub(start) > wait+stallLimit:
+		case model.Instant(r.lastStall.Load()) >= start || r.now().Sub(start) > timeout+stallThreshold:
 			outcome = health.OutcomeInconclusive
 		default:
 			outcome = health.OutcomeFailed
 		}
-		r.do(ctx, func(now model.Instant) { r.act(ctx, now, r.engine.FinishProbe(now, u, outcome)) })
+		r.submit(ctx, func(now model.Instant) { r.act(ctx, now, r.engine.FinishProbe(now, u, outcome)) })
 	}()
 }
--- a/internal/run/relay/read.go
+++ b/internal/run/relay/read.go
@@ -11,136 +11,137 @@
 )
 
 const (
-	// catchUpPatience is how long the store may take to tell what has changed: while it says nothing of changes, the call hangs.
-	catchUpPatience = 150 * time.Millisecond
-	// catchUpFactor is how much longer than the read before it may take, from a store that is slow.
+	// minCatchUpTimeout is the least time that the store gets to return changes. A call for changes hangs while the store withholds them.
+	minCatchUpTimeout = 150 * time.Millisecond
+	// catchUpFactor scales the timeout by the duration of the preceding read, for a store that is slow.
 	catchUpFactor = 3
 )
 
-// readKnowledge returns what the store holds now.
-func (r *Relay) readKnowledge(ctx context.Context) (k model.Snapshot, seats []model.ReaderRecord, err error) {
-	have := r.knowledge()
+// readSnapshot returns the current contents of the store. It reads the reader records first: their list carries the store's revision, so
+// nothing else has to be read if that has not changed.
+func (r *Relay) readSnapshot(ctx context.Context) (snap model.Snapshot, records []model.ReaderRecord, err error) {
+	have := r.currentSnapshot()
 	if have.Revision == 0 {
-		// Nothing is known yet: all kinds are read at once, to serve soon.
-		g, work := errgroup.WithContext(ctx)
+		// There is no snapshot yet: all kinds are read in parallel, to serve as soon as possible.
+		g, readCtx := errgroup.WithContext(ctx)
 		var list model.Listing[model.ReaderRecord]
 		g.Go(func() (err error) {
-			list, err = counted(r, r.cfg.ReaderRecords.Read)(work)
+			list, err = countingRead(r, r.cfg.ReaderRecords.Read)(readCtx)
 			return err
 		})
 		g.Go(func() (err error) {
-			k, err = r.readParts(work, &opening{relay: r, ctx: ctx})
+			snap, err = r.readAll(readCtx, &bootstrap{relay: r, ctx: ctx})
 			return err
 		})
 		err = g.Wait()
-		// Every part may be older than the others: the next read goes on from the oldest.
-		k.Revision = min(list.Revision, k.Revision)
-		return k, list.Items, err
+		// The parts may be of different revisions: the next read continues from the oldest.
+		snap.Revision = min(list.Revision, snap.Revision)
+		return snap, list.Items, err
 	}
 	start := r.now()
-	list, err := counted(r, r.cfg.ReaderRecords.Read)(ctx)
+	list, err := countingRead(r, r.cfg.ReaderRecords.Read)(ctx)
 	if err != nil || list.Revision == have.Revision {
 		return have, list.Items, err
 	}
-	patience, cancel := context.WithTimeout(ctx, max(catchUpPatience, catchUpFactor*r.now().Sub(start)))
+	catchUpCtx, cancel := context.WithTimeout(ctx, max(minCatchUpTimeout, catchUpFactor*r.now().Sub(start)))
 	defer cancel()
-	k, ok := r.catchUp(patience, have, &list)
+	snap, ok := r.catchUp(catchUpCtx, have, &list)
 	if !ok {
 		r.counts.Counter("platform.lists").Inc(1)
-		k, err = r.readParts(ctx, nil)
+		snap, err = r.readAll(ctx, nil)
 	}
-	k.Revision = list.Revision
-	return k, list.Items, err
+	snap.Revision = list.Revision
+	return snap, list.Items, err
 }
 
-// catchUp reads only what has changed since what is known. The store may say nothing of changes for a while, or have
-// forgotten them; ok is false then, and everything has to be read.
-func (r *Relay) catchUp(ctx context.Context, have model.Snapshot, seats *model.Listing[model.ReaderRecord]) (k model.Snapshot, ok bool) {
+// catchUp updates a snapshot by reading only the changes since its revision. ok is false if the store withholds changes or no longer has
+// them; everything has to be read then.
+func (r *Relay) catchUp(ctx context.Context, have model.Snapshot, records *model.Listing[model.ReaderRecord]) (snap model.Snapshot, ok bool) {
 	var upstreams model.Changes[model.Registration]
 	var routes model.Changes[model.RouteTable]
 	var out model.Changes[model.DomainID]
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return since(ctx, r, r.cfg.Upstreams, have.Revision, &upstreams) })
-	g.Go(func() error { return since(ctx, r, r.cfg.Routes, have.Revision, &routes) })
-	g.Go(func() error { return since(ctx, r, r.cfg.DomainsOut, have.Revision, &out) })
+	g.Go(func() error { return readChanges(ctx, r, r.cfg.Upstreams, have.Revision, &upstreams) })
+	g.Go(func() error { return readChanges(ctx, r, r.cfg.Routes, have.Revision, &routes) })
+	g.Go(func() error { return readChanges(ctx, r, r.cfg.DomainsOut, have.Revision, &out) })
 	if g.Wait() != nil {
-		return k, false
+		return snap, false
 	}
 	newest := max(upstreams.Newest, routes.Newest, out.Newest)
-	for _, s := range seats.Items {
-		newest = max(newest, s.Revision)
+	for _, record := range records.Items {
+		newest = max(newest, record.Revision)
 	}
-	if !fresh.CaughtUp(seats.Revision, newest, upstreams.Revision, routes.Revision, out.Revision) {
-		return k, false
+	if !fresh.CaughtUp(records.Revision, newest, upstreams.Revision, routes.Revision, out.Revision) {
+		return snap, false
 	}
-	k = have
-	k.Upstreams = have.Upstreams.Apply(upstreams, model.UpstreamName)
-	k.Out, k.OutRevision = model.Merge(have.Out, out.Items, out.Deleted, model.DomainName), max(have.OutRevision, out.Revision)
-	r.noteUnreadable(len(upstreams.Unreadable), routes.Unreadable)
+	snap = have
+	snap.Upstreams = have.Upstreams.Apply(upstreams, model.UpstreamName)
+	snap.Out, snap.OutRevision = model.Merge(have.Out, out.Items, out.Deleted, model.DomainName), max(have.OutRevision, out.Revision)
+	r.reportUnreadable(len(upstreams.Unreadable), routes.Unreadable)
 	if len(routes.Items) > 0 {
-		k.Routes = routes.Items[0]
+		snap.Routes = routes.Items[0]
 	}
-	return k, true
+	return snap, true
 }
 
-// since reads the changes of one kind.
-func since[T any](ctx context.Context, r *Relay, s Source[T], after model.Revision, into *model.Changes[T]) (err error) {
+// readChanges reads the changes of one kind.
+func readChanges[T any](ctx context.Context, r *Relay, s Source[T], after model.Revision, into *model.Changes[T]) (err error) {
 	*into, err = s.ChangesSince(ctx, after)
 	r.countCall(err)
 	return err
 }
 
-// noteUnreadable counts what could not be understood.
-func (r *Relay) noteUnreadable(upstreams int, routes []string) {
+// reportUnreadable counts entries that could not be parsed, and logs the routes among them.
+func (r *Relay) reportUnreadable(upstreams int, routes []string) {
 	r.counts.Counter("platform.unreadable_upstreams").Inc(int64(upstreams))
 	if len(routes) > 0 {
 		r.counts.Counter("platform.unreadable_routes").Inc(1)
-		r.part("platform").With("names", routes).Error("A configuration cannot be read, the last good one stays in force.")
+		r.logger("platform").With("names", routes).Error("A new route configuration cannot be parsed; the last valid one stays active.")
 	}
 }
 
-// readParts reads upstreams, routes and failure domains at once; the revision is that up to which all are complete. The instance may
-// serve as soon as the opening has enough of them.
-func (r *Relay) readParts(ctx context.Context, o *opening) (k model.Snapshot, err error) {
-	k.Routes = r.knowledge().Routes
+// readAll reads the complete lists of upstreams, routes and failure domains in parallel. The snapshot's revision is the oldest of theirs.
+// If b is not nil, the parts also go to b as they arrive.
+func (r *Relay) readAll(ctx context.Context, b *bootstrap) (snap model.Snapshot, err error) {
+	snap.Routes = r.currentSnapshot().Routes
 	var routesAt model.Revision
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() (err error) {
 		read := r.cfg.Upstreams.Read
-		if o != nil {
+		if b != nil {
 			read = func(ctx context.Context) (model.Listing[model.Registration], error) {
-				return r.cfg.Upstreams.ReadPaged(ctx, o.upstreams)
+				return r.cfg.Upstreams.ReadPaged(ctx, b.upstreams)
 			}
 		}
-		k.Upstreams, err = counted(r, read)(ctx)
-		r.noteUnreadable(len(k.Upstreams.Unreadable), nil)
+		snap.Upstreams, err = countingRead(r, read)(ctx)
+		r.reportUnreadable(len(snap.Upstreams.Unreadable), nil)
 		return err
 	})
 	g.Go(func() error {
-		list, err := counted(r, r.cfg.Routes.Read)(ctx)
+		list, err := countingRead(r, r.cfg.Routes.Read)(ctx)
 		routesAt = list.Revision
 		if len(list.Items) > 0 {
-			k.Routes = list.Items[0]
-			o.routes(list.Items[0])
+			snap.Routes = list.Items[0]
+			b.routes(list.Items[0])
 		}
-		r.noteUnreadable(0, list.Unreadable)
+		r.reportUnreadable(0, list.Unreadable)
 		return err
 	})
 	g.Go(func() error {
-		list, err := counted(r, r.cfg.DomainsOut.Read)(ctx)
-		k.Out, k.OutRevision = list.Items, list.Revision
+		list, err := countingRead(r, r.cfg.DomainsOut.Read)(ctx)
+		snap.Out, snap.OutRevision = list.Items, list.Revision
 		if err == nil {
-			o.domainsOut(list.Items)
+			b.domainsOut(list.Items)
 		}
 		return err
 	})
 	err = g.Wait()
-	k.Revision = min(k.Upstreams.Revision, routesAt, k.OutRevision)
-	return k, err
+	snap.Revision = min(snap.Upstreams.Revision, routesAt, snap.OutRevision)
+	return snap, err
 }
 
-// counted counts the outcomes of a read.
-func counted[T any](r *Relay, read func(context.Context) (model.Listing[T], error)) func(context.Context) (model.Listing[T], error) {
+// countingRead wraps a read so that its outcome is counted.
+func countingRead[T any](r *Relay, read func(context.Context) (model.Listing[T], error)) func(context.Context) (model.Listing[T], error) {
 	return func(ctx context.Context) (model.Listing[T], error) {
 		list, err := read(ctx)
 		r.countCall(err)
@@ -148,7 +149,7 @@
 	}
 }
 
-// countCall counts the outcome of a call to the store.
+// countCall counts a call to the store by its outcome.
 func (r *Relay) countCall(err error) {
 	if err != nil {
 		r.counts.Counter("platform.calls.failed").Inc(1)
--- a/internal/run/relay/read_test.go
+++ b/internal/run/relay/read_test.go
@@ -13,8 +13,8 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// listed is a source that answers at one revision.
-type listed[T any] struct {
+// fakeSource is a Source with fixed contents.
+type fakeSource[T any] struct {
 	at    model.Revision
 	items []T
 	since model.Changes[T]
@@ -22,32 +22,32 @@
 }
 
 // Read implements Source.
-func (l listed[T]) Read(context.Context) (model.Listing[T], error) {
-	return model.Listing[T]{Items: l.items, Revision: l.at}, nil
+func (s fakeSource[T]) Read(context.Context) (model.Listing[T], error) {
+	return model.Listing[T]{Items: s.items, Revision: s.at}, nil
 }
 
 // ReadPaged implements Source.
-func (l listed[T]) ReadPaged(ctx context.Context, _ func([]T)) (model.Listing[T], error) {
-	return l.Read(ctx)
+func (s fakeSource[T]) ReadPaged(ctx context.Context, _ func([]T)) (model.Listing[T], error) {
+	return s.Read(ctx)
 }
 
 // ChangesSince implements Source.
-func (l listed[T]) ChangesSince(context.Context, model.Revision) (model.Changes[T], error) {
-	return l.since, l.err
+func (s fakeSource[T]) ChangesSince(context.Context, model.Revision) (model.Changes[T], error) {
+	return s.since, s.err
 }
 
-// seats is a source of seats that nobody claims.
-type seats struct {
-	listed[model.ReaderRecord]
+// fakeReaderRecords is a ReaderRecords whose claims always succeed.
+type fakeReaderRecords struct {
+	fakeSource[model.ReaderRecord]
 }
 
-// Claim implements Seats.
-func (seats) Claim(_ context.Context, seat model.ReaderRecord) (model.ReaderRecord, error) {
-	return seat, nil
+// Claim implements ReaderRecords.
+func (fakeReaderRecords) Claim(_ context.Context, record model.ReaderRecord) (model.ReaderRecord, error) {
+	return record, nil
 }
 
-// TestRevision checks which revision is put on what was read while the store changed: everything up to it must be known, or the change
-// would not be read again.
+// TestRevision checks the revision of a snapshot that is read while the store changes. The snapshot must hold every change up to that
+// revision: a later read starts there and would miss the others.
 func TestRevision(t *testing.T) {
 	table := model.RouteTable{Version: 3, Revision: 5}
 	later := model.RouteTable{Version: 5, Revision: 192}
@@ -55,29 +55,30 @@
 		cfg  Config
 		have model.Snapshot
 		want model.Revision
-		// version is that of the configuration then.
+		// version is that of the expected route configuration.
 		version model.Version
 	}{
-		"the first read, a configuration older than all else": {
+		"a first read whose route configuration is older than the rest": {
 			cfg: Config{
-				ReaderRecords: seats{listed[model.ReaderRecord]{at: 193}}, Upstreams: listed[model.Registration]{at: 194},
-				Routes: listed[model.RouteTable]{at: 190, items: []model.RouteTable{table}}, DomainsOut: listed[model.DomainID]{at: 194},
+				ReaderRecords: fakeReaderRecords{fakeSource[model.ReaderRecord]{at: 193}}, Upstreams: fakeSource[model.Registration]{at: 194},
+				Routes: fakeSource[model.RouteTable]{at: 190, items: []model.RouteTable{table}}, DomainsOut: fakeSource[model.DomainID]{at: 194},
 			},
 			want: 190, version: 3,
 		},
-		"changes that lead there": {
+		"changes that reach the current revision": {
 			cfg: Config{
-				ReaderRecords: seats{listed[model.ReaderRecord]{at: 192}}, Upstreams: listed[model.Registration]{since: model.Changes[model.Registration]{Revision: 192}},
-				Routes:     listed[model.RouteTable]{since: model.Changes[model.RouteTable]{Items: []model.RouteTable{later}, Newest: 192, Revision: 192}},
-				DomainsOut: listed[model.DomainID]{since: model.Changes[model.DomainID]{Revision: 192}},
+				ReaderRecords: fakeReaderRecords{fakeSource[model.ReaderRecord]{at: 192}}, Upstreams: fakeSource[model.Registration]{since: model.Changes[model.Registration]{Revision: 192}},
+				Routes:     fakeSource[model.RouteTable]{since: model.Changes[model.RouteTable]{Items: []model.RouteTable{later}, Newest: 192, Revision: 192}},
+				DomainsOut: fakeSource[model.DomainID]{since: model.Changes[model.DomainID]{Revision: 192}},
 			},
 			have: model.Snapshot{Revision: 181, Routes: table}, want: 192, version: 5,
 		},
-		"changes that leave something unexplained": {
+		"changes without the latest one": {
 			cfg: Config{
-				ReaderRecords: seats{listed[model.ReaderRecord]{at: 192}}, Upstreams: listed[model.Registration]{at: 193, since: model.Changes[model.Registration]{Revision: 192}},
-				Routes:     listed[model.RouteTable]{at: 193, items: []model.RouteTable{later}, since: model.Changes[model.RouteTable]{Revision: 192}},
-				DomainsOut: listed[model.DomainID]{at: 193, since: model.Changes[model.DomainID]{Revision: 192}},
+				ReaderRecords: fakeReaderRecords{fakeSource[model.ReaderRecord]{at: 192}},
+				Upstreams:     fakeSource[model.Registration]{at: 193, since: model.Changes[model.Registration]{Revision: 192}},
+				Routes:        fakeSource[model.RouteTable]{at: 193, items: []model.RouteTable{later}, since: model.Changes[model.RouteTable]{Revision: 192}},
+				DomainsOut:    fakeSource[model.DomainID]{at: 193, since: model.Changes[model.DomainID]{Revision: 192}},
 			},
 			have: model.Snapshot{Revision: 181, Routes: table}, want: 192, version: 5,
 		},
@@ -85,11 +86,11 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r := &Relay{cfg: tc.cfg, log: logs.NewJSON(io.Discard, logrus.InfoLevel), counts: count.New(), known: tc.have}
-			k, _, err := r.readKnowledge(context.Background())
+			r := &Relay{cfg: tc.cfg, log: logs.NewJSON(io.Discard, logrus.InfoLevel), counts: count.New(), snapshot: tc.have}
+			snap, _, err := r.readSnapshot(context.Background())
 			is.NoErr(err)
-			is.Equal(k.Revision, tc.want)
-			is.Equal(k.Routes.Version, tc.version)
+			is.Equal(snap.Revision, tc.want)
+			is.Equal(snap.Routes.Version, tc.version)
 		})
 	}
 }
--- a/internal/run/relay/record.go
+++ b/internal/run/relay/record.go
@@ -9,15 +9,15 @@
 	"hawthorncourse/internal/core/roster"
 )
 
-// decisionLines is the most lines a second for each kind of decision on packets: with five kinds, logging then takes
-// below a hundredth of the smallest instance's processor time.
-const decisionLines = 20
+// decisionsPerSecond bounds the log lines per second for each kind of decision on packets: with five kinds, logging takes less than 1 % of
+// the smallest instance's processor time.
+const decisionsPerSecond = 20
 
-// beliefLines is the most lines a second for each kind of change of what is believed: more than any fault of a few upstreams brings, and
-// below a tenth of the smallest instance's processor time when a failure domain of a thousand goes.
-const beliefLines = 100
+// stateChangesPerSecond bounds the log lines per second for each kind of state change. It exceeds what a fault of a few upstreams causes, and
+// logging takes less than 10 % of the smallest instance's processor time when a failure domain with a thousand upstreams fails.
+const stateChangesPerSecond = 100
 
-// The kinds of decisions on packets that are logged.
+// The values of the log field "kind" for decisions on packets.
 const (
 	kindPlace  = "place"
 	kindResend = "resend"
@@ -25,22 +25,22 @@
 	kindDrop   = "drop"
 )
 
-// sentences says in a line what each kind of decision is.
-var sentences = map[string]string{
-	kindPlace:  "A new flow is placed.",
-	kindResend: "An opening packet goes to a further upstream.",
-	kindReset:  "A flow is reset.",
-	kindDrop:   "A packet is dropped.",
+// messages holds the log message of each kind of decision.
+var messages = map[string]string{
+	kindPlace:  "A new flow was assigned to an upstream.",
+	kindResend: "The opening packet of a flow was resent to another upstream.",
+	kindReset:  "A flow was reset.",
+	kindDrop:   "A packet was dropped.",
 }
 
-// recorder writes the log of decisions and beliefs; the decide duty alone uses it.
+// recorder writes the rate-limited log of decisions and state changes; only the decision loop uses it.
 type recorder struct {
 	log logs.Logger
-	// budget bounds the decisions, and beliefs the changes of what is believed.
-	budget, beliefs logs.Limiter
+	// decisions and stateChanges bound the lines of each kind.
+	decisions, stateChanges logs.Limiter
 }
 
-// kindOf returns the kind of a decision; it is empty for packets of open flows, which only follow an earlier decision.
+// kindOf returns the kind of a decision. It is empty for packets of open flows, which go to the upstream chosen before and are not logged.
 func kindOf(a *direct.Action) string {
 	switch {
 	case a.Verb == model.VerbReset:
@@ -56,15 +56,15 @@
 	}
 }
 
-// record logs one decision with what decided it.
+// record logs a decision together with the state that it was based on.
 func (r *Relay) record(now model.Instant, a *direct.Action) {
 	kind := kindOf(a)
-	if kind == "" || !r.recorder.budget.Allow(time.Duration(now), kind) {
+	if kind == "" || !r.recorder.decisions.Allow(time.Duration(now), kind) {
 		return
 	}
 	fields := logs.Fields{
 		"kind": kind, "flow": a.Flow.Caller, "service": a.Flow.Service,
-		"revision": r.revision.Load(), "ageMs": now.Sub(model.Instant(r.confirmed.Load())).Milliseconds(),
+		"revision": r.revision.Load(), "ageMs": now.Sub(model.Instant(r.confirmedAt.Load())).Milliseconds(),
 	}
 	if a.Reason != model.ReasonNone {
 		fields["reason"] = a.Reason.String()
@@ -80,10 +80,10 @@
 		fields["misses"], fields["silentMs"] = u.Health.Timeouts(), u.Health.UnansweredFor(now).Milliseconds()
 		fields["running"], fields["answerMs"] = u.Load.Running, u.Load.AnswerTime().Milliseconds()
 	}
-	r.recorder.log.WithAll(fields).Info(sentences[kind])
+	r.recorder.log.WithAll(fields).Info(messages[kind])
 }
 
-// addUpstream adds what tells one start of an upstream from all others.
+// addUpstream adds the fields that identify an upstream and the current start of its process.
 func addUpstream(fields logs.Fields, u *roster.Upstream) {
 	fields["upstream"], fields["boot"], fields["upstreamTag"] = u.ID, u.Boot, u.Tag
 	fields["domain"], fields["state"], fields["entryRevision"] = u.Domain, u.State.String(), u.Revision
@@ -95,50 +95,50 @@
 	return log.WithAll(fields)
 }
 
-// summarise logs what the budgets left out.
-func (r *Relay) summarise(now model.Instant) {
-	for _, left := range append(r.recorder.budget.NextWindow(time.Duration(now)), r.recorder.beliefs.NextWindow(time.Duration(now))...) {
-		r.counts.Counter("log.left_out." + left.Kind).Inc(int64(left.Lines))
-		r.recorder.log.With("kind", left.Kind).With("lines", left.Lines).Info("Lines were left out.")
+// logOmitted logs the number of lines that the rate limits have omitted, and of those lost by the log writer.
+func (r *Relay) logOmitted(now model.Instant) {
+	for _, omitted := range append(r.recorder.decisions.NextWindow(time.Duration(now)), r.recorder.stateChanges.NextWindow(time.Duration(now))...) {
+		r.counts.Counter("log.left_out." + omitted.Kind).Inc(int64(omitted.Lines))
+		r.recorder.log.With("kind", omitted.Kind).With("lines", omitted.Lines).Info("Log lines of this kind were omitted by the rate limit.")
 	}
 	if n := r.cfg.LogsDropped(); n > 0 {
 		r.counts.Counter("log.dropped").Inc(n)
-		r.recorder.log.With("lines", n).Warn("Lines were lost, since the log's reader was too slow.")
+		r.recorder.log.With("lines", n).Warn("Log lines were lost because the log output was too slow.")
 	}
 }
 
-// report logs what the engine has come to believe.
-func (r *Relay) report(now model.Instant) {
-	log := r.part("health")
-	for _, n := range r.engine.TakeEvents() {
-		if !r.recorder.beliefs.Allow(time.Duration(now), n.Kind.String()) {
+// logEvents logs changes in the state of upstreams, failure domains and the instance itself.
+func (r *Relay) logEvents(now model.Instant) {
+	log := r.logger("health")
+	for _, ev := range r.engine.TakeEvents() {
+		if !r.recorder.stateChanges.Allow(time.Duration(now), ev.Kind.String()) {
 			continue
 		}
-		switch n.Kind {
+		switch ev.Kind {
 		case direct.EventUpstreamEjected:
-			withUpstream(log, n.Upstream).With("misses", n.Upstream.Health.Timeouts()).Warn("An upstream does not answer; new flows go elsewhere.")
+			withUpstream(log, ev.Upstream).With("misses", ev.Upstream.Health.Timeouts()).Warn("An upstream does not answer and has been ejected; new flows go to other upstreams.")
 		case direct.EventUpstreamReachable:
-			withUpstream(log, n.Upstream).With("silentMs", n.UnansweredFor.Milliseconds()).Info("An upstream answers again.")
+			withUpstream(log, ev.Upstream).With("silentMs", ev.UnansweredFor.Milliseconds()).Info("An ejected upstream answers again; it gets new flows.")
 		case direct.EventDomainPartitioned:
-			log.With("domain", n.Domain).Warn("A failure domain does not answer; new flows go elsewhere.")
+			log.With("domain", ev.Domain).Warn("No upstream of a failure domain answers; new flows go to other failure domains.")
 		case direct.EventDomainReachable:
-			log.With("domain", n.Domain).Info("A failure domain answers again.")
+			log.With("domain", ev.Domain).Info("A failure domain answers again; its upstreams get new flows.")
 		}
 	}
-	for _, n := range r.engine.Roster().TakeStateChanges() {
-		if !r.recorder.beliefs.Allow(time.Duration(now), "upstream_"+n.State.String()) {
+	for _, ev := range r.engine.Roster().TakeStateChanges() {
+		if !r.recorder.stateChanges.Allow(time.Duration(now), "upstream_"+ev.State.String()) {
 			continue
 		}
-		withUpstream(r.part("roster"), n.Upstream).With("service", n.Upstream.Service).With("draining", n.Upstream.Draining).
-			Info("What is known of an upstream has changed.")
+		withUpstream(r.logger("roster"), ev.Upstream).With("service", ev.Upstream.Service).With("draining", ev.Upstream.Draining).
+			Info("The registration state of an upstream has changed.")
 	}
 	if isolated := r.engine.Isolated(); isolated != r.isolated.Swap(isolated) {
-		r.part("relay").With("isolated", isolated).Warn("Whether any upstream can be reached has changed.")
+		r.logger("relay").With("isolated", isolated).Warn("The reachability of the upstreams has changed; while isolated is true, none is reachable and the readiness check fails.")
 	}
 }
 
-// measure counts what the engine measured.
-func (r *Relay) measure() {
+// recordSamples adds the latencies that the engine has measured to the histograms.
+func (r *Relay) recordSamples() {
 	for _, s := range r.engine.TakeSamples() {
 		if s.Kind == direct.SampleHandshake {
 			r.handshakes.RecordDuration(s.Duration)
@@ -148,21 +148,21 @@
 	}
 }
 
-// gauge sets the gauges of what is known.
-func (r *Relay) gauge(now model.Instant) {
+// updateGauges updates the gauges of upstreams, flows and the snapshot.
+func (r *Relay) updateGauges(now model.Instant) {
 	states := map[roster.State]int{}
-	barred := 0
+	ejected := 0
 	for _, u := range r.engine.Roster().All() {
 		states[u.State]++
 		if u.Health.Ejected() {
-			barred++
+			ejected++
 		}
 	}
 	for _, s := range []roster.State{roster.StateListed, roster.StateMissing, roster.StateUnreadable} {
 		r.counts.Gauge("upstreams." + s.String()).Update(float64(states[s]))
 	}
-	r.counts.Gauge("upstreams.barred").Update(float64(barred))
+	r.counts.Gauge("upstreams.barred").Update(float64(ejected))
 	r.counts.Gauge("flows").Update(float64(r.engine.FlowCount()))
-	r.counts.Gauge("knowledge.age_seconds").Update(now.Sub(model.Instant(r.confirmed.Load())).Seconds())
+	r.counts.Gauge("knowledge.age_seconds").Update(now.Sub(model.Instant(r.confirmedAt.Load())).Seconds())
 	r.counts.Gauge("knowledge.revision").Update(float64(r.revision.Load()))
 }
--- a/internal/run/relay/record_test.go
+++ b/internal/run/relay/record_test.go
@@ -17,11 +17,11 @@
 
 func benchRelay(limit int) *Relay {
 	r := &Relay{cfg: Config{Instance: "east-1", LogsDropped: func() int64 { return 0 }}, log: logs.NewJSON(io.Discard, logrus.InfoLevel), counts: count.New()}
-	r.recorder = recorder{log: r.part("flow"), budget: logs.Limiter{Limit: limit}}
+	r.recorder = recorder{log: r.logger("flow"), decisions: logs.Limiter{Limit: limit}}
 	return r
 }
 
-// BenchmarkRecord logs a placement that its budget lets through, and one that it leaves out.
+// BenchmarkRecord logs the assignment of a flow, within the rate limit and beyond it.
 func BenchmarkRecord(b *testing.B) {
 	action := direct.Action{
 		Verb: model.VerbForward, Attempt: 1, Candidates: 14, Upstream: &roster.Upstream{State: roster.StateListed, Tag: 7},
--- a/internal/run/relay/relay.go
+++ b/internal/run/relay/relay.go
@@ -1,4 +1,7 @@
-// Package relay runs one instance that forwards tagged flows: its duties, the rings between them and its sockets.
+// Package relay runs one instance that forwards tagged flows: its sockets, its goroutines and the bounded queues between them.
+//
+// A single goroutine, the decision loop, owns the engine; the others reach it through queues. One instance per failure domain, the reader,
+// reads the platform's store and distributes its contents to the others as snapshots.
 package relay
 
 import (
@@ -25,141 +28,143 @@
 )
 
 const (
-	// packetRing holds what arrives in half a second at 8,000 packets a second, after which callers have repeated it.
-	packetRing  = 4096
-	commandRing = 64
-	// doubtRing holds more words than are passed on in a second.
-	doubtRing = 32
-	// socketBuffer is as many packets of the largest size as packetRing holds.
+	// packetRingSize is half a second of packets at 8,000 packets/s; callers have retransmitted older ones.
+	packetRingSize  = 4096
+	commandRingSize = 64
+	// suspicionRingSize exceeds the number of suspicions that are broadcast per second.
+	suspicionRingSize = 32
+	// socketBuffer, in bytes, holds packetRingSize packets of the largest size.
 	socketBuffer = 4 << 20
 )
 
-// Source reads the objects of one kind from the platform.
+// Source reads the objects of one kind from the platform's store.
 type Source[T any] interface {
-	// Read returns all of them.
+	// Read returns all objects.
 	Read(ctx context.Context) (model.Listing[T], error)
-	// ReadPaged returns all of them and hands parts of a long list to early before the rest is read.
-	ReadPaged(ctx context.Context, early func([]T)) (model.Listing[T], error)
-	// ChangesSince returns what has changed after a revision; it fails when the platform cannot tell.
+	// ReadPaged returns all objects. While it reads a long list, it passes each page to onPage.
+	ReadPaged(ctx context.Context, onPage func([]T)) (model.Listing[T], error)
+	// ChangesSince returns the changes after a revision. It fails if the store no longer has them.
 	ChangesSince(ctx context.Context, after model.Revision) (model.Changes[T], error)
 }
 
-// ReaderRecords keeps who reads the platform's store for each failure domain.
+// ReaderRecords accesses the records in the platform's store that name the reader of each failure domain.
 type ReaderRecords interface {
-	// Read returns every seat.
+	// Read returns the records of all failure domains.
 	Read(ctx context.Context) (model.Listing[model.ReaderRecord], error)
-	// Claim takes a seat that is still at its revision; it returns the seat as it is now, whoever holds it.
-	Claim(ctx context.Context, seat model.ReaderRecord) (model.ReaderRecord, error)
+	// Claim writes a record if the stored one is still at the same revision. It returns the stored record after that, whoever holds the role.
+	Claim(ctx context.Context, record model.ReaderRecord) (model.ReaderRecord, error)
 }
 
-// Codec translates between datagrams and segments.
+// Codec parses and builds packets.
 type Codec interface {
-	// Parse reads a caller's datagram; the segment refers to raw.
+	// Parse parses a caller's datagram; the segment refers to raw.
 	Parse(raw []byte) (model.Segment, error)
-	// AppendForward appends the datagram that brings a packet to an upstream.
+	// AppendForward appends the datagram that forwards a packet to an upstream.
 	AppendForward(dst, raw []byte, number model.EndpointNumber, tag model.RoutingTag) []byte
-	// AppendReset appends the packet that ends a flow towards its caller.
-	AppendReset(dst []byte, flow model.FlowKey, position uint32) []byte
+	// AppendReset appends the packet that resets a flow at its caller.
+	AppendReset(dst []byte, flow model.FlowKey, seq uint32) []byte
 }
 
-// Config is what a Relay is built from.
+// Config configures a Relay.
 type Config struct {
-	// Limits holds what may change while the instance runs.
+	// Limits holds the settings that may change while the instance runs.
 	Limits
-	// Instance is the name of this instance.
+	// Instance is the ID of this instance.
 	Instance model.InstanceID
-	// Domain is the failure domain that this instance is in.
+	// Domain is the failure domain of this instance.
 	Domain model.DomainID
-	// Packets receives packets from callers; answers to callers go to the same port number.
+	// Packets is the UDP address that receives packets from callers. Resets go to the same port number at the callers.
 	Packets netip.AddrPort
-	// Ready serves the readiness check.
+	// Ready is the address of the readiness check.
 	Ready netip.AddrPort
-	// ReadyPath is the path of the readiness check.
+	// ReadyPath is the HTTP path of the readiness check.
 	ReadyPath string
-	// Control receives calls from other instances.
+	// Control is the address for RPCs from other instances.
 	Control netip.AddrPort
-	// ReaderRecords keeps who reads the store for each failure domain.
+	// ReaderRecords accesses the reader records in the platform's store.
 	ReaderRecords ReaderRecords
-	// Metrics serves counters; it may be invalid for none.
+	// Metrics is the address that serves metrics and status; if it is invalid, they are not served.
 	Metrics netip.AddrPort
-	// Codec translates packets.
+	// Codec parses and builds packets.
 	Codec Codec
-	// Upstreams, Routes and DomainsOut are what the platform knows.
+	// Upstreams, Routes and DomainsOut read the platform's store; DomainsOut lists the failure domains that operators have taken out.
 	Upstreams  Source[model.Registration]
 	Routes     Source[model.RouteTable]
 	DomainsOut Source[model.DomainID]
-	// SinceStoreResponse returns for how long the platform's store has sent nothing.
+	// SinceStoreResponse returns the time since the platform's store last sent any data.
 	SinceStoreResponse func() time.Duration
-	// LogsDropped returns how many lines of the log were lost since the last call; nil for a log that loses none.
+	// LogsDropped returns the number of log lines lost since the last call; nil for a log that loses none.
 	LogsDropped func() int64
 }
 
-// Relay is one running instance.
+// Relay is one running relay instance.
 type Relay struct {
-	cfg    Config
-	log    *logrus.Logger
-	counts *count.Set
-	tally  *tallies
-	start  time.Time
+	cfg Config
+	log *logrus.Logger
+	// counts holds all metrics, counters those of the engine's actions.
+	counts   *count.Set
+	counters *actionCounters
+	start    time.Time
 
 	engine *direct.Engine
 	share  *share.Share
-	// known is what the platform last told and trust what that proves; both are guarded by knownMu.
-	knownMu sync.Mutex
-	known   model.Snapshot
-	trust   *fresh.OutageTracker
-	// keeper is used by the follow duty only.
-	keeper *fresh.Scheduler
-	// limits are those in force, and changed holds new ones that the follow duty has yet to take up.
-	limits, changed atomic.Pointer[Limits]
-	places          *places
-	// place is the number that the instance was last given, for the report.
-	place atomic.Pointer[model.Ordinal]
+	// snapshot is the current snapshot of the platform's store, and outages tracks for how long a missing entry may come back after an
+	// outage of the store. Both are guarded by snapshotMu.
+	snapshotMu sync.Mutex
+	snapshot   model.Snapshot
+	outages    *fresh.OutageTracker
+	// scheduler is used by the follow goroutine only.
+	scheduler *fresh.Scheduler
+	// limits holds the active limits, and pendingLimits changed ones that the follow goroutine has not applied yet.
+	limits, pendingLimits atomic.Pointer[Limits]
+	ordinals              *ordinalAllocator
+	// ordinal is the ordinal that was last assigned to this instance, for the status report.
+	ordinal atomic.Pointer[model.Ordinal]
 
 	packets *net.UDPConn
 	ready   net.Listener
 	control net.Listener
 	metrics net.Listener
 
-	arrived  *ring.Ring[model.Segment]
+	segments *ring.Ring[model.Segment]
 	commands *ring.Ring[command]
-	// work ends when the instance does; it is set once, before any duty begins.
+	// work is cancelled when the instance stops; it is set once, before the goroutines start.
 	work context.Context
-	// doubts holds what others should hear of.
-	doubts *ring.Ring[model.Suspicion]
-	// seat is who reads for the failure domain as last known.
-	seat atomic.Pointer[model.ReaderRecord]
-	// nudge asks for an early read of the platform.
-	nudge chan struct{}
+	// suspicions queues suspicions for other instances.
+	suspicions *ring.Ring[model.Suspicion]
+	// reader is the reader record of the failure domain as last read.
+	reader atomic.Pointer[model.ReaderRecord]
+	// refresh requests a read before the next step is due.
+	refresh chan struct{}
 
-	// opened is set once the engine decides on packets; the decide duty alone uses it.
-	opened bool
-	// stopping is set once the planned stop has begun.
+	// engineReady is set once the engine has enough state to handle packets; only the decision loop uses it.
+	engineReady bool
+	// stopping is set once the graceful shutdown has started.
 	stopping atomic.Bool
-	// serving is set while the instance wants packets.
+	// serving is set while the instance is ready for traffic.
 	serving atomic.Bool
-	// isolated is set while no upstream can be reached.
+	// isolated is set while no upstream is reachable.
 	isolated atomic.Bool
-	// stalled is the instant at which a timer last fired so late that the process must have stood still.
-	stalled atomic.Int64
-	// lastPacket is the instant at which the last packet was decided on.
+	// lastStall is the instant at which a timer last fired so late that the process must have been stalled.
+	lastStall atomic.Int64
+	// lastPacket is the instant at which the last packet was handled.
 	lastPacket atomic.Int64
-	// revision and confirmed are of what is known, for the log.
-	revision  atomic.Uint64
-	confirmed atomic.Int64
-	recorder  recorder
-	// stall is used by the decide duty only.
+	// revision is that of the current snapshot, and confirmedAt the instant at which the store last confirmed it. They are for logs and metrics.
+	revision    atomic.Uint64
+	confirmedAt atomic.Int64
+	recorder    recorder
+	// stall is used by the decision loop only.
 	stall *stall
-	// handshakes and answers are the times that the engine measured.
+	// handshakes and answers are the histograms of the latencies that the engine measures.
 	handshakes, answers tally.Histogram
-	// datagram is reused by the decide duty.
+	// datagram is the send buffer of the decision loop.
 	datagram []byte
 }
 
-// command is one change for the decide duty.
+// command is a function that the decision loop runs.
 type command func(now model.Instant)
 
-// New opens the sockets of an instance; Run closes them.
+// New opens the sockets of an instance. Run closes them.
 func New(cfg Config, log *logrus.Logger) (r *Relay, err error) {
 	defer func() {
 		if err != nil {
@@ -168,37 +173,37 @@
 	}()
 	start := time.Now()
 	r = &Relay{
-		cfg:      cfg,
-		log:      log,
-		counts:   count.New(),
-		start:    start,
-		trust:    fresh.NewOutageTracker(cfg.MaxStaleness, roster.OutageGrace),
-		keeper:   fresh.NewScheduler(fresh.SchedulerConfig{Self: cfg.Instance, MaxStaleness: cfg.MaxStaleness, LinkMbps: cfg.LinkMbps}),
-		arrived:  ring.New[model.Segment](packetRing),
-		commands: ring.New[command](commandRing),
-		doubts:   ring.New[model.Suspicion](doubtRing),
-		nudge:    make(chan struct{}, 1),
-		stall:    newStall(bootClock),
+		cfg:        cfg,
+		log:        log,
+		counts:     count.New(),
+		start:      start,
+		outages:    fresh.NewOutageTracker(cfg.MaxStaleness, roster.OutageGrace),
+		scheduler:  fresh.NewScheduler(fresh.SchedulerConfig{Self: cfg.Instance, MaxStaleness: cfg.MaxStaleness, LinkMbps: cfg.LinkMbps}),
+		segments:   ring.New[model.Segment](packetRingSize),
+		commands:   ring.New[command](commandRingSize),
+		suspicions: ring.New[model.Suspicion](suspicionRingSize),
+		refresh:    make(chan struct{}, 1),
+		stall:      newStall(bootClock),
 	}
 	r.limits.Store(&cfg.Limits)
-	r.place.Store(&model.Ordinal{})
-	r.tally = newTallies(r.counts)
+	r.ordinal.Store(&model.Ordinal{})
+	r.counters = newActionCounters(r.counts)
 	r.handshakes, r.answers = r.counts.Latency("handshake"), r.counts.Latency("answer")
-	r.recorder = recorder{log: r.part("flow"), budget: logs.Limiter{Limit: decisionLines}, beliefs: logs.Limiter{Limit: beliefLines}}
+	r.recorder = recorder{log: r.logger("flow"), decisions: logs.Limiter{Limit: decisionsPerSecond}, stateChanges: logs.Limiter{Limit: stateChangesPerSecond}}
 	if r.cfg.LogsDropped == nil {
 		r.cfg.LogsDropped = func() int64 { return 0 }
 	}
 	r.engine = direct.New(direct.Config{
 		Domain: cfg.Domain,
 		Seed:   uint64(start.UnixNano()),
-		Limits: cfg.engine(),
+		Limits: cfg.engineLimits(),
 	})
 	if err = r.openSockets(); err != nil {
 		r.closeSockets()
 		return nil, err
 	}
-	r.places = newPlaces(r.keeper, r.now)
-	r.share = share.New(share.Config{Self: cfg.Instance, Listener: r.control, Ordinals: r.places, LinkMbps: cfg.LinkMbps, OnSuspicion: r.hearDoubt, Counts: r.counts})
+	r.ordinals = newOrdinalAllocator(r.scheduler, r.now)
+	r.share = share.New(share.Config{Self: cfg.Instance, Listener: r.control, Ordinals: r.ordinals, LinkMbps: cfg.LinkMbps, OnSuspicion: r.handleSuspicion, Counts: r.counts})
 	return r, nil
 }
 
@@ -232,20 +237,20 @@
 	}
 }
 
-// Run serves until the planned stop that begins when ctx ends is over, or until a duty fails.
+// Run serves until ctx is cancelled and the graceful shutdown that follows is complete, or until a goroutine fails.
 func (r *Relay) Run(ctx context.Context) (err error) {
 	defer func() {
 		if err != nil {
 			err = eris.Wrapf(err, "run instance %s", r.cfg.Instance)
 		}
 	}()
-	r.part("relay").With("domain", r.cfg.Domain).Info("Instance starts.")
+	r.logger("relay").With("domain", r.cfg.Domain).Info("Instance is starting.")
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	g, work := errgroup.WithContext(work)
 	r.work = work
-	for _, duty := range []func(context.Context) error{r.read, r.decide, r.follow, r.askSeeds, r.tellDoubts, r.share.Run, r.serveReady, r.serveMetrics} {
-		g.Go(func() error { return duty(work) })
+	for _, task := range []func(context.Context) error{r.read, r.decide, r.follow, r.pollSeeds, r.sendSuspicions, r.share.Run, r.serveReady, r.serveMetrics} {
+		g.Go(func() error { return task(work) })
 	}
 	g.Go(func() error {
 		defer cancel()
@@ -255,27 +260,29 @@
 	defer stop()
 	err = g.Wait()
 	r.closeSockets()
-	r.part("relay").Info("Instance ends.")
+	r.logger("relay").Info("Instance has stopped.")
 	return err
 }
 
-// do gives the decide duty a change and waits while its ring is full.
-func (r *Relay) do(ctx context.Context, c command) {
+// submit queues a command for the decision loop; it blocks while the queue is full.
+func (r *Relay) submit(ctx context.Context, c command) {
 	for !r.commands.Offer(c) && ctx.Err() == nil {
 		r.counts.Counter("relay.command_ring_full").Inc(1)
-		sleep(ctx, ringPause)
+		sleep(ctx, ringRetryDelay)
 	}
 }
 
-func (r *Relay) part(name string) logs.Logger {
+// logger returns the log of the named component.
+func (r *Relay) logger(name string) logs.Logger {
 	return logs.Named(r.log, name).With("instance", r.cfg.Instance)
 }
 
+// now returns the time since the start of the process.
 func (r *Relay) now() model.Instant {
 	return model.Instant(time.Since(r.start))
 }
 
-// sleep waits for the time or for the end of the context.
+// sleep waits for d or until ctx is cancelled.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/run/relay/serve.go
+++ b/internal/run/relay/serve.go
@@ -14,7 +14,7 @@
 
 const headerTimeout = 5 * time.Second
 
-// serveReady answers the readiness check.
+// serveReady serves the readiness check: status 200 while the instance is serving and not isolated, 503 otherwise.
 func (r *Relay) serveReady(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+r.cfg.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -25,7 +25,7 @@
 	return serve(ctx, r.ready, mux)
 }
 
-// serveMetrics serves every metric as text.
+// serveMetrics serves the metrics in Prometheus text format, and the status as JSON.
 func (r *Relay) serveMetrics(ctx context.Context) error {
 	if r.metrics == nil {
 		return nil
@@ -39,22 +39,23 @@
 	return serve(ctx, r.metrics, mux)
 }
 
-// getStatus reports what the instance knows and believes.
+// getStatus reports the snapshot and the engine's view of the upstreams as JSON.
 func (r *Relay) getStatus(ctx context.Context, w http.ResponseWriter, req *http.Request) {
-	asked := make(chan status.RelayReport, 1)
-	r.do(ctx, func(now model.Instant) {
-		asked <- status.RelayReport{Flows: r.engine.FlowCount(), Upstreams: r.engine.View(now)}
+	reply := make(chan status.RelayReport, 1)
+	r.submit(ctx, func(now model.Instant) {
+		reply <- status.RelayReport{Flows: r.engine.FlowCount(), Upstreams: r.engine.View(now)}
 	})
 	select {
-	case report := <-asked:
+	case report := <-reply:
 		report.Instance, report.Domain, report.Ready = r.cfg.Instance, r.cfg.Domain, r.serving.Load() && !r.isolated.Load()
-		report.Known, report.Place, report.Age = r.knowledge(), *r.place.Load(), r.now().Sub(model.Instant(r.confirmed.Load()))
+		report.Known, report.Place, report.Age = r.currentSnapshot(), *r.ordinal.Load(), r.now().Sub(model.Instant(r.confirmedAt.Load()))
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(status.RelayToWire(report))
 	case <-req.Context().Done():
 	}
 }
 
+// serve serves HTTP on l until ctx is cancelled.
 func serve(ctx context.Context, l net.Listener, h http.Handler) error {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
--- a/internal/run/relay/stall.go
+++ b/internal/run/relay/stall.go
@@ -9,56 +9,58 @@
 )
 
 const (
-	// stallLimit is how late a timer of this process may fire before it must have stood still.
-	stallLimit = 25 * time.Millisecond
-	// staleAfter is a standstill after which packets that waited are of no use: the latency objectives of all callers
-	// have passed, and most have gone elsewhere. A request that ran now would run for nobody.
-	staleAfter = time.Second
-	// staleFor is the time that it takes to empty the socket with a tenth of a core.
-	staleFor = 100 * time.Millisecond
+	// stallThreshold is how late a timer may fire before the process counts as stalled.
+	stallThreshold = 25 * time.Millisecond
+	// staleThreshold is the length of a stall after which queued packets are dropped: the latency objectives of all callers have passed, and
+	// most callers have retried elsewhere, so the answers to these requests would go unused.
+	staleThreshold = time.Second
+	// staleDrainTime is the time that it takes to empty the socket buffer with a tenth of a core.
+	staleDrainTime = 100 * time.Millisecond
 )
 
-// stall watches how late the decide duty wakes, on the steady clock and on one that also counts a suspended machine.
+// stall detects stalls of the process by how late the decision loop's timer fires. It uses the monotonic clock and the boot-time clock, which
+// also advances while the machine is suspended.
 type stall struct {
-	due     model.Instant
-	bootDue time.Duration
-	// boot reads the clock that counts suspension.
-	boot func() time.Duration
-	// staleUntil is until when packets are dropped that waited during a standstill.
+	// expected and bootExpected are when the timer should fire, by each clock.
+	expected     model.Instant
+	bootExpected time.Duration
+	// bootTime reads the boot-time clock.
+	bootTime func() time.Duration
+	// staleUntil is until when packets are dropped after a stall longer than staleThreshold.
 	staleUntil model.Instant
 }
 
-func newStall(boot func() time.Duration) *stall {
-	return &stall{boot: boot}
+func newStall(bootTime func() time.Duration) *stall {
+	return &stall{bootTime: bootTime}
 }
 
-// expect notes that the duty will wake after the wait.
+// expect records that the timer is due after wait.
 func (s *stall) expect(now model.Instant, wait time.Duration) {
-	s.due, s.bootDue = now.Add(wait), s.boot()+wait
+	s.expected, s.bootExpected = now.Add(wait), s.bootTime()+wait
 }
 
-// woke notes that the duty woke by its timer; it returns for how long the process stood still meanwhile, if it did.
-func (s *stall) woke(now model.Instant) time.Duration {
-	late := max(now.Sub(s.due), s.boot()-s.bootDue)
-	if late > staleAfter {
-		s.staleUntil = now.Add(staleFor)
+// timerFired returns how late the timer fired, or zero if the delay is within stallThreshold.
+func (s *stall) timerFired(now model.Instant) time.Duration {
+	delay := max(now.Sub(s.expected), s.bootTime()-s.bootExpected)
+	if delay > staleThreshold {
+		s.staleUntil = now.Add(staleDrainTime)
 	}
-	if late <= stallLimit {
+	if delay <= stallThreshold {
 		return 0
 	}
-	return late
+	return delay
 }
 
-// stale reports whether a packet that is taken now waited during a standstill.
+// stale reports whether a packet taken from the queue now may have been received before or during a long stall.
 func (s *stall) stale(now model.Instant) bool {
-	if s.boot()-s.bootDue > staleAfter {
-		// The duty's own timer has not fired yet.
-		s.staleUntil = now.Add(staleFor)
+	if s.bootTime()-s.bootExpected > staleThreshold {
+		// The stall has just ended, and the packet was selected before the overdue timer.
+		s.staleUntil = now.Add(staleDrainTime)
 	}
 	return now < s.staleUntil
 }
 
-// bootClock returns the time since the machine started, suspension included; zero if the machine cannot tell.
+// bootClock returns the time since the machine booted, including suspension; zero if the clock is not available.
 func bootClock() time.Duration {
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
--- a/internal/run/relay/stall_test.go
+++ b/internal/run/relay/stall_test.go
@@ -9,21 +9,23 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// TestStall replays standstills of a process and of its machine, and checks what becomes of packets that waited.
+// TestStall checks that stalls of the process and suspensions of the machine are detected, and that packets queued during a long one are
+// dropped.
 func TestStall(t *testing.T) {
 	cases := map[string]struct {
-		// steady and boot are how much later than expected the duty wakes, by each clock.
+		// steady and boot are how late the timer fires, by the monotonic and the boot-time clock.
 		steady, boot time.Duration
-		// early is set when a packet is taken before the duty's timer.
-		early      bool
-		stood, old bool
+		// early is set if a packet is handled before the timer.
+		early bool
+		// stalled and stale are the expected detection of a stall and of stale packets.
+		stalled, stale bool
 	}{
-		"in time":                               {},
-		"a little late":                         {steady: 40 * time.Millisecond, boot: 40 * time.Millisecond, stood: true},
-		"a process that stood still":            {steady: 3 * time.Second, boot: 3 * time.Second, stood: true, old: true},
-		"a machine that was suspended":          {boot: 3 * time.Second, stood: true, old: true},
-		"a packet before the timer":             {steady: 3 * time.Second, boot: 3 * time.Second, early: true, stood: true, old: true},
-		"a machine that cannot tell its uptime": {steady: 3 * time.Second, stood: true, old: true},
+		"on time":                             {},
+		"slightly late":                       {steady: 40 * time.Millisecond, boot: 40 * time.Millisecond, stalled: true},
+		"a stalled process":                   {steady: 3 * time.Second, boot: 3 * time.Second, stalled: true, stale: true},
+		"a suspended machine":                 {boot: 3 * time.Second, stalled: true, stale: true},
+		"a packet before the timer":           {steady: 3 * time.Second, boot: 3 * time.Second, early: true, stalled: true, stale: true},
+		"a machine without a boot-time clock": {steady: 3 * time.Second, stalled: true, stale: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -34,30 +36,30 @@
 			s.expect(now, 100*time.Millisecond)
 			now, boot = now.Add(100*time.Millisecond+tc.steady), 100*time.Millisecond+tc.boot
 			if tc.early {
-				is.Equal(s.stale(now), tc.old)
+				is.Equal(s.stale(now), tc.stale)
 			}
-			is.Equal(s.woke(now) > 0, tc.stood)
+			is.Equal(s.timerFired(now) > 0, tc.stalled)
 			s.expect(now, 100*time.Millisecond)
-			is.Equal(s.stale(now.Add(time.Millisecond)), tc.old)
-			is.True(!s.stale(now.Add(staleFor)))
+			is.Equal(s.stale(now.Add(time.Millisecond)), tc.stale)
+			is.True(!s.stale(now.Add(staleDrainTime)))
 		})
 	}
 }
 
-// TestStopped checks when a planned stop ends.
-func TestStopped(t *testing.T) {
+// TestShutdownComplete checks when a graceful shutdown may end.
+func TestShutdownComplete(t *testing.T) {
 	cases := map[string]struct {
 		since, quiet time.Duration
 		want         bool
 	}{
-		"routers may not have noticed":    {since: time.Second, quiet: time.Second},
-		"packets still come":              {since: 2 * time.Second, quiet: 100 * time.Millisecond},
-		"routers noticed and it is quiet": {since: 1300 * time.Millisecond, quiet: 600 * time.Millisecond, want: true},
-		"the time is nearly over":         {since: 5500 * time.Millisecond, want: true},
+		"routers may not have detected it":          {since: time.Second, quiet: time.Second},
+		"packets still arrive":                      {since: 2 * time.Second, quiet: 100 * time.Millisecond},
+		"routers detected it and no packets arrive": {since: 1300 * time.Millisecond, quiet: 600 * time.Millisecond, want: true},
+		"the time limit is near":                    {since: 5500 * time.Millisecond, want: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(stopped(tc.since, tc.quiet, 6*time.Second), tc.want)
+			is.New(t).Equal(shutdownComplete(tc.since, tc.quiet, 6*time.Second), tc.want)
 		})
 	}
 }
--- a/internal/run/relay/stop.go
+++ b/internal/run/relay/stop.go
@@ -6,40 +6,42 @@
 )
 
 const (
-	// routersNotice is how long routers take to see that the instance is not ready: two checks half a second apart, and their path.
-	routersNotice = 1200 * time.Millisecond
-	// quietFor is above the longest pause of a caller that repeats a packet to an instance that it has just left.
-	quietFor = 500 * time.Millisecond
-	// stopMargin is left before the process would be killed.
+	// routerDetectTime is how long routers take to detect that the instance is not ready: two checks half a second apart, plus network delay.
+	routerDetectTime = 1200 * time.Millisecond
+	// quietPeriod exceeds the longest interval at which callers retransmit packets to an instance that the routers have just taken out.
+	quietPeriod = 500 * time.Millisecond
+	// stopMargin is the time left before the process would be killed.
 	stopMargin = 500 * time.Millisecond
 	stopPoll   = 50 * time.Millisecond
 )
 
-// awaitStop begins the planned stop when ctx ends and returns when no packet comes any more.
+// awaitStop starts the graceful shutdown when ctx is cancelled and returns when no more packets arrive or the time is nearly over.
+// work is the context of the other goroutines; it is cancelled when one of them fails.
 func (r *Relay) awaitStop(ctx, work context.Context) error {
 	select {
 	case <-ctx.Done():
 	case <-work.Done():
 		return nil
 	}
-	r.part("relay").Info("Planned stop begins.")
+	r.logger("relay").Info("Graceful shutdown has started; the readiness check now fails.")
 	r.stopping.Store(true)
 	r.serving.Store(false)
-	began := time.Now()
+	start := time.Now()
 	for work.Err() == nil {
 		sleep(work, stopPoll)
 		quiet := time.Duration(r.now()) - time.Duration(r.lastPacket.Load())
-		if stopped(time.Since(began), quiet, r.limits.Load().StopWithin) {
+		if shutdownComplete(time.Since(start), quiet, r.limits.Load().StopWithin) {
 			return nil
 		}
 	}
 	return nil
 }
 
-// stopped reports whether a planned stop may end.
-func stopped(since, quiet, within time.Duration) bool {
+// shutdownComplete reports whether a graceful shutdown may end that started since ago, received its last packet quiet ago and must end within
+// the given time.
+func shutdownComplete(since, quiet, within time.Duration) bool {
 	if since >= within-stopMargin {
 		return true
 	}
-	return since >= routersNotice && quiet >= quietFor
+	return since >= routerDetectTime && quiet >= quietPeriod
 }
