--- a/internal/base/count/count.go
+++ b/internal/base/count/count.go
@@ -1,4 +1,4 @@
-// Package count keeps the counters that operators read.
+// Package count collects the metrics of a process: counters, gauges and latency histograms.
 package count
 
 import (
@@ -11,15 +11,16 @@
 	"github.com/uber-go/tally/v4"
 )
 
+// reportInterval is how often tally adds its counts to the totals; totals lag behind by up to that time.
 const reportInterval = 500 * time.Millisecond
 
-// Set is a scope of counters with their totals.
+// Set is a set of named metrics with their totals since the start. It is safe for concurrent use.
 type Set struct {
 	scope  tally.Scope
 	closer io.Closer
 	totals *totals
 	mu     sync.Mutex
-	// counters holds each counter by name, so that a name is looked up once.
+	// counters caches the counters by name, guarded by mu.
 	counters map[string]tally.Counter
 }
 
@@ -30,12 +31,12 @@
 	return &Set{scope: scope, closer: closer, totals: t, counters: map[string]tally.Counter{}}
 }
 
-// Close stops reporting; the last counts are in Totals afterwards.
+// Close flushes the last counts into Totals and stops the reporting.
 func (s *Set) Close() error {
 	return s.closer.Close()
 }
 
-// Counter returns the counter of the name.
+// Counter returns the counter with the name and creates it on first use.
 func (s *Set) Counter(name string) tally.Counter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,36 +48,36 @@
 	return c
 }
 
-// Gauge returns the gauge of the name.
+// Gauge returns the gauge with the name and creates it on first use.
 func (s *Set) Gauge(name string) tally.Gauge {
 	return s.scope.Gauge(name)
 }
 
-// latencyBuckets reach from a round trip within a failure domain to the longest deadline of a caller.
+// latencyBuckets holds 14 upper bounds from 1 ms, a round trip within a failure domain, to about 8 s, the longest deadline of a caller.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 14)
 
-// Latency returns the histogram of the name for times of requests.
+// Latency returns the histogram with the name for request latencies and creates it on first use.
 func (s *Set) Latency(name string) tally.Histogram {
 	return s.scope.Histogram(name, latencyBuckets)
 }
 
-// Total is one counter with its value since the start.
+// Total is the value of one counter since the start.
 type Total struct {
 	Name  string
 	Value int64
 }
 
-// Totals returns every counter that is not zero, by name.
+// Totals returns all counters that are not zero, sorted by name.
 func (s *Set) Totals() []Total {
 	return s.totals.list()
 }
 
-// totals adds up what tally reports.
+// totals accumulates the values that tally reports.
 type totals struct {
 	mu     sync.Mutex
 	values map[string]int64
 	gauges map[string]float64
-	// latencies holds the samples of each histogram by the upper bound of their bucket.
+	// latencies holds the number of samples in each bucket, by histogram name and the bucket's upper bound.
 	latencies map[string]map[time.Duration]int64
 }
 
@@ -107,7 +108,7 @@
 // ReportTimer implements tally.StatsReporter; timers are not used.
 func (t *totals) ReportTimer(string, map[string]string, time.Duration) {}
 
-// ReportHistogramValueSamples implements tally.StatsReporter; histograms of plain values are not used.
+// ReportHistogramValueSamples implements tally.StatsReporter; value histograms are not used.
 func (t *totals) ReportHistogramValueSamples(string, map[string]string, tally.Buckets, float64, float64, int64) {
 }
 
--- a/internal/base/count/text.go
+++ b/internal/base/count/text.go
@@ -8,20 +8,20 @@
 	"strings"
 )
 
-// textPrefix begins the name of each metric.
-const textPrefix = "hawthorncourse_"
+// metricPrefix is the prefix of all metric names in the text format.
+const metricPrefix = "hawthorncourse_"
 
-// WriteText writes every metric in the text format that collectors of metrics read, by name.
+// WriteText writes all metrics in the Prometheus text format, sorted by name within each type. It does not report write errors.
 func (s *Set) WriteText(w io.Writer) {
 	t := s.totals
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(t.values)) {
-		id := textName(name) + "_total"
+		id := metricName(name) + "_total"
 		fmt.Fprintf(w, "# TYPE %s counter\n%s %d\n", id, id, t.values[name])
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.gauges)) {
-		id := textName(name)
+		id := metricName(name)
 		fmt.Fprintf(w, "# TYPE %s gauge\n%s %g\n", id, id, t.gauges[name])
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.latencies)) {
@@ -29,9 +29,9 @@
 	}
 }
 
-// writeLatency writes one histogram with buckets that include those below; t.mu is held.
+// writeLatency writes one histogram with cumulative buckets. t.mu must be held.
 func (t *totals) writeLatency(w io.Writer, name string) {
-	id := textName(name) + "_seconds"
+	id := metricName(name) + "_seconds"
 	fmt.Fprintf(w, "# TYPE %s histogram\n", id)
 	var sum int64
 	for _, upper := range slices.Sorted(maps.Keys(t.latencies[name])) {
@@ -41,6 +41,6 @@
 	fmt.Fprintf(w, "%s_bucket{le=\"+Inf\"} %d\n%s_count %d\n", id, sum, id, sum)
 }
 
-func textName(name string) string {
-	return textPrefix + strings.ReplaceAll(name, ".", "_")
+func metricName(name string) string {
+	return metricPrefix + strings.ReplaceAll(name, ".", "_")
 }
--- a/internal/base/logs/logs_test.go
+++ b/internal/base/logs/logs_test.go
@@ -13,63 +13,63 @@
 	"hawthorncourse/internal/base/logs"
 )
 
-// TestBudget checks that a flood of one kind leaves the others alone and is summed up.
-func TestBudget(t *testing.T) {
+// TestLimiter checks that many lines of one kind do not suppress those of other kinds, and that the suppressed lines are counted.
+func TestLimiter(t *testing.T) {
 	is := is.New(t)
-	b := logs.Limiter{Limit: 3}
+	l := logs.Limiter{Limit: 3}
 	written := 0
 	for range 10_000 {
-		if b.Allow(0, "reset") {
+		if l.Allow(0, "reset") {
 			written++
 		}
 	}
 	is.Equal(written, 3)
-	is.True(b.Allow(0, "place"))
-	is.Equal(len(b.NextWindow(time.Second/2)), 0)
-	is.Equal(b.NextWindow(time.Second), []logs.Suppressed{{Kind: "reset", Lines: 9997}})
-	is.True(b.Allow(time.Second, "reset"))
-	is.Equal(len(b.NextWindow(2*time.Second)), 0)
+	is.True(l.Allow(0, "place"))
+	is.Equal(len(l.NextWindow(time.Second/2)), 0)
+	is.Equal(l.NextWindow(time.Second), []logs.Suppressed{{Kind: "reset", Lines: 9997}})
+	is.True(l.Allow(time.Second, "reset"))
+	is.Equal(len(l.NextWindow(2*time.Second)), 0)
 }
 
-// stuck is a reader of output that takes nothing until it is released.
-type stuck struct {
-	release chan struct{}
+// blockedWriter is a writer that blocks until its channel is closed.
+type blockedWriter struct {
+	unblock chan struct{}
 	bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
-	<-s.release
-	return s.Buffer.Write(b)
+func (w *blockedWriter) Write(b []byte) (int, error) {
+	<-w.unblock
+	return w.Buffer.Write(b)
 }
 
-// TestAsync checks that a blocked reader of the output stops nobody, and that what it cost is known.
+// TestAsync checks that a blocked output does not block the logging goroutine, and that every line is either written or counted as dropped.
 func TestAsync(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{release: make(chan struct{})}
+	out := &blockedWriter{unblock: make(chan struct{})}
 	a := logs.NewAsync(out)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		_ = a.Run(ctx)
-		close(ended)
+		close(done)
 	}()
 	log := logs.NewJSON(a, logrus.InfoLevel)
-	began := time.Now()
+	start := time.Now()
 	const lines = 20_000
 	for n := range lines {
 		logs.Named(log, "flow").With("n", n).Info("A line.")
 	}
-	is.True(time.Since(began) < 5*time.Second)
-	lost := a.Dropped()
-	is.True(lost > 0)
-	close(out.release)
+	is.True(time.Since(start) < 5*time.Second)
+	dropped := a.Dropped()
+	is.True(dropped > 0)
+	close(out.unblock)
 	cancel()
-	<-ended
+	<-done
 	a.Flush()
-	is.Equal(int(lost)+bytes.Count(out.Bytes(), []byte("\n")), lines)
+	is.Equal(int(dropped)+bytes.Count(out.Bytes(), []byte("\n")), lines)
 }
 
-// TestJSON checks the shape of a line, on which the reader of logs depends.
+// TestJSON checks the format of a line, which the command that searches logs parses.
 func TestJSON(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
--- a/internal/base/ring/ring.go
+++ b/internal/base/ring/ring.go
@@ -1,19 +1,19 @@
-// Package ring joins two duties by a bounded queue that never blocks its writer.
+// Package ring provides a bounded queue between goroutines whose producers never block.
 package ring
 
 import "context"
 
-// Ring is a bounded queue between two duties.
+// Ring is a bounded FIFO queue. It is safe for concurrent use.
 type Ring[T any] struct {
 	items chan T
 }
 
-// New returns a ring that holds size items.
+// New returns a ring with a capacity of size items.
 func New[T any](size int) *Ring[T] {
 	return &Ring[T]{items: make(chan T, size)}
 }
 
-// Offer adds an item; it reports false at once when the ring is full.
+// Offer adds an item without blocking; it reports false if the ring is full.
 func (r *Ring[T]) Offer(item T) bool {
 	select {
 	case r.items <- item:
@@ -23,7 +23,7 @@
 	}
 }
 
-// Take waits for the next item; it reports false when the context ends first.
+// Take removes and returns the next item, and blocks while the ring is empty; it reports false if the context ends first.
 func (r *Ring[T]) Take(ctx context.Context) (item T, ok bool) {
 	select {
 	case item = <-r.items:
@@ -33,12 +33,12 @@
 	}
 }
 
-// Items returns the channel of items, for duties that wait for several rings.
+// Items returns the channel that holds the items, for goroutines that select on several rings.
 func (r *Ring[T]) Items() <-chan T {
 	return r.items
 }
 
-// Len returns the number of items that wait.
+// Len returns the number of queued items.
 func (r *Ring[T]) Len() int {
 	return len(r.items)
 }
--- a/internal/conf/config/config.go
+++ b/internal/conf/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads the operators' document and checks it as a whole.
+// Package config parses and validates the document in which operators configure failure domains, services and upstreams.
 package config
 
 import (
@@ -9,15 +9,16 @@
 	"hawthorncourse/internal/core/model"
 )
 
+// The upper limits of values, and of the document's size in bytes, which is the platform's limit for an object.
 const (
 	maxSlots       = 10_000
 	maxConnections = 1_000_000
 	maxQueue       = 100_000
 	maxPercent     = 100
-	maxText        = 1 << 20
+	maxBytes       = 1 << 20
 )
 
-// The intervals that a document gets when it names none.
+// defaultTiming holds the intervals that apply where a document does not set them.
 var defaultTiming = model.Timing{
 	Detection:   3 * time.Second,
 	WarmLease:   1500 * time.Millisecond,
@@ -25,7 +26,7 @@
 	StreamLife:  24 * time.Hour,
 }
 
-// The values that a service gets when it names none.
+// The defaults for the optional fields of a service.
 const (
 	defaultRequestTimeout  = 2 * time.Second
 	defaultRefreshInterval = 10 * time.Second
@@ -33,13 +34,13 @@
 	defaultRetryPercent    = 10
 )
 
-// Parse reads a document; the error holds every fault with its line.
+// Parse parses a document; the error is a reader.Faults that lists every error in the document with its line.
 func Parse(text []byte) (*model.Document, error) {
-	if len(text) > maxText {
-		return nil, reader.Faults{{Line: 1, Field: "document", Reason: "is larger than one megabyte, the most that the platform holds"}}
+	if len(text) > maxBytes {
+		return nil, reader.Faults{{Line: 1, Field: "document", Reason: "exceeds 1 MiB, the platform's limit for an object"}}
 	}
 	doc := &model.Document{Timing: defaultTiming, KeyEpoch: 1}
-	c := &checker{domains: map[model.DomainID]bool{}, names: map[string]bool{}, addresses: map[netip.AddrPort]string{}, tags: map[model.UpstreamTag]model.UpstreamID{}}
+	c := &checker{domains: map[model.DomainID]bool{}, ids: map[string]bool{}, addresses: map[netip.AddrPort]string{}, tags: map[model.UpstreamTag]model.UpstreamID{}}
 	faults := reader.Read(text, reader.Schema{
 		"note":      reader.Text(&doc.Note),
 		"operation": reader.Text(&doc.Operation),
@@ -61,9 +62,9 @@
 		},
 	})
 	if len(doc.Domains) == 0 {
-		faults = append(faults, reader.Fault{Line: 1, Field: "domains", Reason: "must name at least one failure domain"})
+		faults = append(faults, reader.Fault{Line: 1, Field: "domains", Reason: "must contain at least one failure domain"})
 	}
-	faults = append(faults, c.unknownDomains()...)
+	faults = append(faults, c.domainFaults()...)
 	if err := faults.Err(); err != nil {
 		return nil, err
 	}
@@ -79,16 +80,20 @@
 	})
 }
 
-// checker holds what must be unique or known in the whole document.
+// checker checks constraints that span the whole document: unique IDs, addresses and tags, and references to failure domains.
 type checker struct {
-	domains   map[model.DomainID]bool
-	names     map[string]bool
-	addresses map[netip.AddrPort]string
-	tags      map[model.UpstreamTag]model.UpstreamID
-	uses      []domainUse
+	// domains holds the declared failure domains.
+	domains map[model.DomainID]bool
+	// ids holds the used IDs, each preceded by the kind of its object and a space.
+	ids map[string]bool
+	// addresses maps each used address to the path of its field's object.
+	addresses  map[netip.AddrPort]string
+	tags       map[model.UpstreamTag]model.UpstreamID
+	domainRefs []domainRef
 }
 
-type domainUse struct {
+// domainRef is an upstream's reference to a failure domain, which is checked after the whole document has been read.
+type domainRef struct {
 	field  reader.Field
 	domain model.DomainID
 }
@@ -100,13 +105,13 @@
 		"out":    reader.Flag(&d.Out),
 		"note":   reader.Text(&d.Note),
 	})
-	c.name(f, "domain", string(d.ID))
+	c.checkID(f, "domain", string(d.ID))
 	c.domains[d.ID] = true
 	return d
 }
 
-// kinds maps the words of the document to kinds of service.
-var kinds = map[string]model.Kind{
+// kindsByName maps the names of service kinds in the document to their values.
+var kindsByName = map[string]model.Kind{
 	"coap":     model.KindCoAP,
 	"datagram": model.KindDatagram,
 }
@@ -131,16 +136,16 @@
 			f.Array(func(f reader.Field) { s.Upstreams = append(s.Upstreams, c.readUpstream(f)) })
 		},
 	})
-	c.name(f, "service", string(s.ID))
+	c.checkID(f, "service", string(s.ID))
 	f.Require("kind", s.Kind != 0)
-	c.address(f, "address", s.Address, true)
+	c.checkAddress(f, "address", s.Address, true)
 	return s
 }
 
 func readKind(f reader.Field, kind *model.Kind) {
-	var word string
-	reader.Text(&word)(f)
-	*kind = kinds[word]
+	var name string
+	reader.Text(&name)(f)
+	*kind = kindsByName[name]
 	if *kind == 0 {
 		f.Fault("must be \"coap\" or \"datagram\"")
 	}
@@ -161,58 +166,61 @@
 		"leaving":         reader.Flag(&u.Leaving),
 		"note":            reader.Text(&u.Note),
 	})
-	c.name(f, "upstream", string(u.ID))
-	c.address(f, "address", u.Address, true)
-	c.address(f, "health", u.Health, false)
+	c.checkID(f, "upstream", string(u.ID))
+	c.checkAddress(f, "address", u.Address, true)
+	c.checkAddress(f, "health", u.Health, false)
 	f.Require("slots", u.Slots > 0)
 	f.Require("connections", u.Connections > 0)
 	u.ColdSlots = max(u.ColdSlots, 1)
 	if u.ColdSlots > u.Slots {
-		f.Fault("coldSlots must not be above slots")
+		f.Fault("coldSlots must not exceed slots")
 	}
 	if other, taken := c.tags[u.ID.Tag()]; taken && other != u.ID {
-		f.Fault("id has the same short form as %q; choose another", other)
+		f.Fault("id has the same 32-bit hash as %q; choose another id", other)
 	}
 	c.tags[u.ID.Tag()] = u.ID
-	c.uses = append(c.uses, domainUse{field: f, domain: u.Domain})
+	c.domainRefs = append(c.domainRefs, domainRef{field: f, domain: u.Domain})
 	return u
 }
 
-func (c *checker) name(f reader.Field, kind, id string) {
+// checkID records a fault if the ID is empty or used before by an object of the same kind.
+func (c *checker) checkID(f reader.Field, kind, id string) {
 	if id == "" {
 		f.Fault("id is missing")
 		return
 	}
-	if c.names[kind+" "+id] {
-		f.Fault("id %q is given to two of the same kind", id)
+	if c.ids[kind+" "+id] {
+		f.Fault("id %q is already used by another object of the same kind", id)
 	}
-	c.names[kind+" "+id] = true
+	c.ids[kind+" "+id] = true
 }
 
-func (c *checker) address(f reader.Field, name string, addr netip.AddrPort, required bool) {
+// checkAddress records a fault if a required address is missing or if the address is used before in the document.
+func (c *checker) checkAddress(f reader.Field, name string, addr netip.AddrPort, required bool) {
 	if !addr.IsValid() {
 		if required {
 			f.Fault("%s is missing", name)
 		}
 		return
 	}
-	if f2, taken := c.addresses[addr]; taken {
-		f.Fault("%s %s is already that of %s", name, addr, f2)
+	if other, taken := c.addresses[addr]; taken {
+		f.Fault("%s %s is already used by %s", name, addr, other)
 	}
 	c.addresses[addr] = f.Path()
 }
 
-func (c *checker) unknownDomains() reader.Faults {
+// domainFaults returns a fault for each upstream whose failure domain is missing or not declared.
+func (c *checker) domainFaults() reader.Faults {
 	var faults reader.Faults
-	for _, use := range c.uses {
-		if use.domain == "" {
-			faults = append(faults, reader.Fault{Line: use.field.Line(), Field: use.field.Path(), Reason: "domain is missing"})
-		} else if !c.domains[use.domain] {
-			faults = append(faults, reader.Fault{Line: use.field.Line(), Field: use.field.Path(), Reason: "domain \"" + string(use.domain) + "\" is not among domains"})
+	for _, ref := range c.domainRefs {
+		if ref.domain == "" {
+			faults = append(faults, reader.Fault{Line: ref.field.Line(), Field: ref.field.Path(), Reason: "domain is missing"})
+		} else if !c.domains[ref.domain] {
+			faults = append(faults, reader.Fault{Line: ref.field.Line(), Field: ref.field.Path(), Reason: "domain \"" + string(ref.domain) + "\" is not declared in domains"})
 		}
 	}
 	return faults
 }
 
-// ObjectName is the name of the document on the platform.
+// ObjectName is the name of the document's object in the platform's store.
 const ObjectName = "document"
--- a/internal/conf/config/config_test.go
+++ b/internal/conf/config/config_test.go
@@ -13,13 +13,13 @@
 	"hawthorncourse/internal/conf/config"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "update the golden files")
 
-// TestFaults compares the faults of each document with its golden file.
+// TestFaults compares the errors of each document in testdata with its golden file.
 func TestFaults(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.jsonc")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no documents", err)
+		t.Fatal("no documents in testdata", err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -54,12 +54,12 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		doc, err := config.Parse(text)
 		if (doc == nil) == (err == nil) {
-			t.Error("neither a document nor a fault, or both")
+			t.Error("Parse must return either a document or an error")
 		}
 	})
 }
 
-// documentOf returns a document with n upstreams, eleven behind each address.
+// documentOf returns a document with n upstreams, eleven for each service.
 func documentOf(n int) []byte {
 	var b strings.Builder
 	b.WriteString(`{"domains":[{"id":"a"}],"services":[`)
--- a/internal/conf/keys/keys.go
+++ b/internal/conf/keys/keys.go
@@ -1,4 +1,4 @@
-// Package keys reads and writes the object that holds the binding keys.
+// Package keys parses and writes the platform object that holds the binding keys.
 package keys
 
 import (
@@ -11,14 +11,15 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// ObjectName is the name of the object on the platform.
+// ObjectName is the name of the object in the platform's store.
 const ObjectName = "binding-keys"
 
-// valid is how many generations are accepted at a time.
-const valid = 2
+// maxKeys is the maximum number of keys that are valid at the same time: the current one and its predecessor.
+const maxKeys = 2
 
-// wireKeys is the object's body.
-type wireKeys struct {
+// wireObject is the object's body.
+type wireObject struct {
+	// Keys is sorted from the newest to the oldest key.
 	Keys []wireKey `json:"keys"`
 }
 
@@ -27,41 +28,41 @@
 	Secret []byte `json:"secret"`
 }
 
-// Parse reads the object's body.
+// Parse parses the object's body; version becomes that of the keys.
 func Parse(version model.Version, body []byte) (k bind.Keys, err error) {
 	defer func() {
 		if err != nil {
 			err = eris.Wrap(err, "keys: parse")
 		}
 	}()
-	var wire wireKeys
-	if err := json.Unmarshal(body, &wire); err != nil {
+	var object wireObject
+	if err := json.Unmarshal(body, &object); err != nil {
 		return k, err
 	}
-	if len(wire.Keys) == 0 || len(wire.Keys) > valid {
-		return k, eris.Errorf("object holds %d keys", len(wire.Keys))
+	if len(object.Keys) == 0 || len(object.Keys) > maxKeys {
+		return k, eris.Errorf("object holds %d keys, but must hold one or two", len(object.Keys))
 	}
 	k.Version = version
-	for _, w := range wire.Keys {
+	for _, w := range object.Keys {
 		key := bind.Key{Epoch: model.Epoch(w.Epoch)}
 		if copy(key.Secret[:], w.Secret) != len(key.Secret) || len(w.Secret) != len(key.Secret) {
-			return k, eris.Errorf("key %d has a secret of %d bytes", w.Epoch, len(w.Secret))
+			return k, eris.Errorf("secret of key %d has a wrong length of %d bytes", w.Epoch, len(w.Secret))
 		}
 		k.List = append(k.List, key)
 	}
 	return k, nil
 }
 
-// Rotate returns the body with a new key of the epoch before the newest of the old ones.
+// Rotate returns the object's body with a new random key for the epoch, followed by the newest of the old keys.
 func Rotate(old bind.Keys, epoch model.Epoch) (body []byte, err error) {
-	fresh := bind.Key{Epoch: epoch}
-	if _, err := rand.Read(fresh.Secret[:]); err != nil {
+	newest := bind.Key{Epoch: epoch}
+	if _, err := rand.Read(newest.Secret[:]); err != nil {
 		return nil, eris.Wrap(err, "keys: rotate")
 	}
-	list := append([]bind.Key{fresh}, old.List...)
-	var wire wireKeys
-	for _, k := range list[:min(valid, len(list))] {
-		wire.Keys = append(wire.Keys, wireKey{Epoch: uint16(k.Epoch), Secret: k.Secret[:]})
+	list := append([]bind.Key{newest}, old.List...)
+	var object wireObject
+	for _, k := range list[:min(maxKeys, len(list))] {
+		object.Keys = append(object.Keys, wireKey{Epoch: uint16(k.Epoch), Secret: k.Secret[:]})
 	}
-	return json.Marshal(wire)
+	return json.Marshal(object)
 }
--- a/internal/conf/reader/reader.go
+++ b/internal/conf/reader/reader.go
@@ -1,4 +1,4 @@
-// Package reader decodes JSON with comments field by field and names every fault with its line.
+// Package reader decodes JSON with comments according to a schema, and reports all invalid fields with their lines at the same time.
 package reader
 
 import (
@@ -13,12 +13,13 @@
 	"github.com/tailscale/hujson"
 )
 
-// Fault is one thing wrong with a text.
+// Fault is one error in a text.
 type Fault struct {
-	// Line counts from one.
+	// Line is the line number, counted from one.
 	Line int
 	// Field is the path of the field, such as services[0].address.
-	Field  string
+	Field string
+	// Reason completes a sentence that starts with the field, such as "must be a string".
 	Reason string
 }
 
@@ -27,7 +28,7 @@
 	return fmt.Sprintf("line %d: %s: %s", f.Line, f.Field, f.Reason)
 }
 
-// Faults is every fault of one text, in the order of its lines.
+// Faults holds all errors of one text.
 type Faults []Fault
 
 // Error implements error.
@@ -39,7 +40,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the faults as an error, or nil for none.
+// Err returns the faults as an error, or nil if there are none.
 func (fs Faults) Err() error {
 	if len(fs) == 0 {
 		return nil
@@ -47,35 +48,35 @@
 	return fs
 }
 
-// Field is one value of the text with its path.
+// Field is one value in the text with its path.
 type Field struct {
 	r     *Reader
 	path  string
 	value hujson.Value
 }
 
-// Reader collects the faults of one text.
+// Reader collects the faults while a text is decoded.
 type Reader struct {
 	text   []byte
 	faults Faults
 }
 
-// Schema maps the names of an object's fields to their readers.
+// Schema maps the names of an object's fields to the functions that decode them.
 type Schema map[string]func(Field)
 
-// Read parses text and reads its outermost object.
-func Read(text []byte, shape Schema) Faults {
+// Read parses the text and decodes its outermost object with the schema. It returns the faults sorted by line.
+func Read(text []byte, schema Schema) Faults {
 	r := &Reader{text: text}
 	value, err := hujson.Parse(text)
 	if err != nil {
 		return Faults{{Line: 1, Field: "text", Reason: strings.TrimPrefix(err.Error(), "hujson: ")}}
 	}
-	Field{r: r, path: "", value: value}.Object(shape)
+	Field{r: r, path: "", value: value}.Object(schema)
 	slices.SortStableFunc(r.faults, func(a, b Fault) int { return a.Line - b.Line })
 	return r.faults
 }
 
-// Fault records that the field is wrong.
+// Fault records an error in the field.
 func (f Field) Fault(format string, args ...any) {
 	path := f.path
 	if path == "" {
@@ -89,8 +90,8 @@
 	return 1 + bytes.Count(f.r.text[:f.value.StartOffset], []byte("\n"))
 }
 
-// Object reads the fields of an object; unknown and repeated names are faults.
-func (f Field) Object(shape Schema) {
+// Object decodes an object; unknown and duplicate fields are faults.
+func (f Field) Object(schema Schema) {
 	obj, ok := f.value.Value.(*hujson.Object)
 	if !ok {
 		f.Fault("must be an object")
@@ -101,12 +102,12 @@
 		lit, _ := m.Name.Value.(hujson.Literal)
 		name := lit.String()
 		child := Field{r: f.r, path: strings.TrimPrefix(f.path+"."+name, "."), value: m.Value}
-		read := shape[name]
+		read := schema[name]
 		switch {
 		case seen[name]:
-			child.Fault("is given twice")
+			child.Fault("is a duplicate field")
 		case read == nil:
-			child.Fault("is not a known field; known are %s", strings.Join(shape.names(), ", "))
+			child.Fault("is not a known field; the known fields are %s", strings.Join(schema.names(), ", "))
 		default:
 			read(child)
 		}
@@ -123,7 +124,7 @@
 	return names
 }
 
-// Array reads the elements of an array.
+// Array calls read for each element of an array.
 func (f Field) Array(read func(Field)) {
 	arr, ok := f.value.Value.(*hujson.Array)
 	if !ok {
@@ -140,7 +141,7 @@
 	return lit, ok && lit.Kind() == kind
 }
 
-// Text returns a reader that sets dst to a string.
+// Text returns a decoder of a string to dst.
 func Text[T ~string](dst *T) func(Field) {
 	return func(f Field) {
 		lit, ok := f.literal('"')
@@ -152,7 +153,7 @@
 	}
 }
 
-// Flag returns a reader that sets dst to true or false.
+// Flag returns a decoder of a boolean to dst.
 func Flag(dst *bool) func(Field) {
 	return func(f Field) {
 		lit, ok := f.value.Value.(hujson.Literal)
@@ -164,12 +165,12 @@
 	}
 }
 
-// Integer is any whole number type.
+// Integer is the constraint for the destinations of Number.
 type Integer interface {
 	~int | ~int64 | ~uint16 | ~uint64
 }
 
-// Number returns a reader that sets dst to a whole number between low and high.
+// Number returns a decoder of a whole number between low and high, inclusive, to dst.
 func Number[T Integer](dst *T, low, high int64) func(Field) {
 	return func(f Field) {
 		lit, ok := f.literal('0')
@@ -186,14 +187,14 @@
 	}
 }
 
-// Duration returns a reader that sets dst to a duration such as "1.5s" between low and high.
+// Duration returns a decoder of a duration such as "1.5s" between low and high, inclusive, to dst.
 func Duration(dst *time.Duration, low, high time.Duration) func(Field) {
 	return func(f Field) {
 		var text string
 		Text(&text)(f)
 		d, err := time.ParseDuration(text)
 		if err != nil {
-			f.Fault("must be a duration with its unit, such as \"1.5s\"")
+			f.Fault("must be a duration with a unit, such as \"1.5s\"")
 			return
 		}
 		if d < low || d > high {
@@ -204,7 +205,7 @@
 	}
 }
 
-// Address returns a reader that sets dst to an IP address with a port.
+// Address returns a decoder of an IP address with a non-zero port to dst.
 func Address(dst *netip.AddrPort) func(Field) {
 	return func(f Field) {
 		var text string
@@ -218,7 +219,7 @@
 	}
 }
 
-// Require records a fault unless the field that should set a value did so.
+// Require records a fault if the named field of the object f is not set.
 func (f Field) Require(name string, set bool) {
 	if !set {
 		f.Fault("%s is missing", name)
--- a/internal/conf/setup/console.go
+++ b/internal/conf/setup/console.go
@@ -9,23 +9,25 @@
 	"hawthorncourse/internal/conf/reader"
 )
 
-// Console is the settings of the operators' console.
+// Console holds the settings of the operators' console.
 type Console struct {
-	// Listen is where the console is served; on loopback if not given.
+	// Listen is the console's HTTP listen address; the default is defaultConsole.
 	Listen netip.AddrPort
 	// Platform is the URL of the platform's object API.
 	Platform string
-	// Admin holds the admin addresses of instances.
+	// Admin holds the admin addresses of the instances to show.
 	Admin []string
 	// Token is the operators' password, of at least minToken bytes.
 	Token string
 }
 
+// minToken is the minimum length of the password in bytes.
 const minToken = 12
 
+// defaultConsole accepts connections from the same machine only.
 var defaultConsole = netip.MustParseAddrPort("127.0.0.1:7800")
 
-// LoadConsole reads the console's settings in the file.
+// LoadConsole reads the console's settings from the file.
 func LoadConsole(path string) (cfg Console, err error) {
 	defer func() {
 		if err != nil {
@@ -39,7 +41,7 @@
 	return ParseConsole(text)
 }
 
-// ParseConsole reads the console's settings; the error holds every fault with its line.
+// ParseConsole parses the console's settings; the error is a reader.Faults that lists every invalid setting with its line.
 func ParseConsole(text []byte) (Console, error) {
 	cfg := Console{Listen: defaultConsole}
 	faults := reader.Read(text, reader.Schema{
--- a/internal/conf/setup/setup.go
+++ b/internal/conf/setup/setup.go
@@ -1,4 +1,4 @@
-// Package setup reads the settings of one entry instance.
+// Package setup reads the settings files of an entry instance and of the operators' console.
 package setup
 
 import (
@@ -14,41 +14,41 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// Config is the settings of one entry instance.
+// Config holds the settings of one entry instance.
 type Config struct {
-	// Instance is the name of this instance; no two live ones share it.
+	// Instance is the name of this instance; it must be unique among running instances.
 	Instance model.InstanceID
-	// Domain is the failure domain that this instance is in.
+	// Domain is the failure domain of this instance.
 	Domain model.DomainID
-	// Front receives packets from the fabric.
+	// Front is the UDP listen address for callers' packets, which arrive from the network fabric.
 	Front netip.AddrPort
-	// Back sends to upstreams and receives their answers.
+	// Back is the UDP address that sends packets to upstreams and receives their answers.
 	Back netip.AddrPort
-	// HandOff receives packets from peers.
+	// HandOff is the UDP listen address for packets that other instances hand to this one.
 	HandOff netip.AddrPort
-	// Control receives calls from peers.
+	// Control is the TCP listen address for calls from other instances.
 	Control netip.AddrPort
-	// Admin serves status and counters to operators.
+	// Admin is the HTTP listen address for status and metrics.
 	Admin netip.AddrPort
-	// Advertise is the control address that peers use; the same as Control if not given.
+	// Advertise is the control address that other instances connect to; the default is Control.
 	Advertise netip.AddrPort
-	// AdvertiseHandOff is the address for packets that peers use; the same as Hand if not given.
+	// AdvertiseHandOff is the address that other instances hand packets to; the default is HandOff.
 	AdvertiseHandOff netip.AddrPort
-	// Fabric is where packets for callers go.
+	// Fabric is the address in the network fabric to which packets for callers are sent.
 	Fabric netip.AddrPort
 	// Platform is the URL of the platform's object API.
 	Platform string
 	// LogLevel is the least severe level that is logged.
 	LogLevel logrus.Level
-	// RingSize is the most packets that wait between two duties.
+	// RingSize is the capacity, in packets, of each queue between goroutines.
 	RingSize int
-	// StreamLimit is the most flows that are remembered.
+	// StreamLimit is the maximum number of flows in the flow table.
 	StreamLimit int
-	// HealthInterval is how often upstreams are asked for their health.
+	// HealthInterval is the interval between health checks of an upstream.
 	HealthInterval time.Duration
-	// Policy names the way to pick one of several free upstreams.
+	// Policy is the name of the load-balancing policy that selects one of several available upstreams.
 	Policy string
-	// Seed feeds random choices; zero for one from the clock.
+	// Seed is the seed of the random number generator; zero for one from the clock.
 	Seed uint64
 }
 
@@ -60,7 +60,7 @@
 	defaultHealthInterval = time.Second
 )
 
-// Load reads the settings in the file.
+// Load reads the settings from the file.
 func Load(path string) (cfg Config, err error) {
 	defer func() {
 		if err != nil {
@@ -74,7 +74,7 @@
 	return Parse(text)
 }
 
-// Parse reads settings; the error holds every fault with its line.
+// Parse parses settings; the error is a reader.Faults that lists every invalid setting with its line.
 func Parse(text []byte) (Config, error) {
 	cfg := Config{
 		LogLevel:       logrus.InfoLevel,
@@ -113,9 +113,9 @@
 }
 
 func readLevel(f reader.Field, level *logrus.Level) {
-	var word string
-	reader.Text(&word)(f)
-	parsed, err := logrus.ParseLevel(word)
+	var name string
+	reader.Text(&name)(f)
+	parsed, err := logrus.ParseLevel(name)
 	if err != nil {
 		f.Fault("must be a level such as \"info\" or \"debug\"")
 		return
@@ -130,9 +130,10 @@
 	}
 }
 
+// missing returns a fault for each required setting that is not set.
 func (cfg *Config) missing() reader.Faults {
 	var faults reader.Faults
-	needs := []struct {
+	required := []struct {
 		name string
 		set  bool
 	}{
@@ -146,9 +147,9 @@
 		{name: "fabric", set: cfg.Fabric.IsValid()},
 		{name: "platform", set: cfg.Platform != ""},
 	}
-	for _, need := range needs {
-		if !need.set {
-			faults = append(faults, reader.Fault{Line: 1, Field: need.name, Reason: "is missing"})
+	for _, field := range required {
+		if !field.set {
+			faults = append(faults, reader.Fault{Line: 1, Field: field.name, Reason: "is missing"})
 		}
 	}
 	return faults
--- a/internal/conf/setup/setup_test.go
+++ b/internal/conf/setup/setup_test.go
@@ -9,7 +9,7 @@
 	"hawthorncourse/internal/conf/setup"
 )
 
-const whole = `{
+const complete = `{
 	// One instance.
 	"instance": "musanze-1", "domain": "musanze",
 	"front": "127.0.0.1:7000", "back": "127.0.0.1:7001", "hand": "127.0.0.1:7002",
@@ -19,22 +19,22 @@
 
 func TestParse(t *testing.T) {
 	cases := map[string]struct {
-		old, new string
-		want     string
+		replace, with string
+		want          string
 	}{
-		"whole":              {},
-		"an unknown field":   {old: `"domain"`, new: `"zone"`, want: "line 3: zone: is not a known field"},
-		"a bad address":      {old: `127.0.0.1:7000`, new: `localhost`, want: "line 4: front: must be an IP address and a port"},
-		"a missing platform": {old: `, "platform": "http://127.0.0.3:7400"`, want: "platform: is missing"},
-		"a bad level":        {old: `// One instance.`, new: `"logLevel": "loud",`, want: "logLevel: must be a level"},
-		"a bad policy":       {old: `// One instance.`, new: `"policy": "best",`, want: "policy: must be"},
-		"a ring of nothing":  {old: `// One instance.`, new: `"ringSize": 0,`, want: "ringSize: must be a whole number from 1"},
-		"no JSON":            {old: `{`, new: `[`, want: "text:"},
+		"complete":          {},
+		"unknown field":     {replace: `"domain"`, with: `"zone"`, want: "line 3: zone: is not a known field"},
+		"invalid address":   {replace: `127.0.0.1:7000`, with: `localhost`, want: "line 4: front: must be an IP address and a port"},
+		"missing platform":  {replace: `, "platform": "http://127.0.0.3:7400"`, want: "platform: is missing"},
+		"invalid log level": {replace: `// One instance.`, with: `"logLevel": "loud",`, want: "logLevel: must be a level"},
+		"unknown policy":    {replace: `// One instance.`, with: `"policy": "best",`, want: "policy: must be"},
+		"ring of size zero": {replace: `// One instance.`, with: `"ringSize": 0,`, want: "ringSize: must be a whole number from 1"},
+		"not JSON":          {replace: `{`, with: `[`, want: "text:"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			cfg, err := setup.Parse([]byte(strings.Replace(whole, tc.old, tc.new, 1)))
+			cfg, err := setup.Parse([]byte(strings.Replace(complete, tc.replace, tc.with, 1)))
 			if tc.want == "" {
 				is.NoErr(err)
 				is.Equal(cfg.Advertise, cfg.Control)
--- a/internal/conf/watch/watch.go
+++ b/internal/conf/watch/watch.go
@@ -1,4 +1,4 @@
-// Package watch notices that a file has changed, with a signal or without.
+// Package watch detects changes of a file, by polling and on signals.
 package watch
 
 import (
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// Config is what a watch is built from.
+// Config is the configuration of a watch.
 type Config struct {
-	// Path names the file.
+	// Path is the path of the file.
 	Path string
-	// Interval is how often the file is read without a signal; each read costs as much as one log line.
+	// Interval is the polling interval; one read costs about as much as writing a log line.
 	Interval time.Duration
-	// Signals lets the file be read at once; it may be nil.
+	// Signals triggers an immediate read; it may be nil.
 	Signals <-chan os.Signal
-	// OnChange takes the content each time that it differs from what it was.
+	// OnChange is called with the new content each time that it differs from the previous content.
 	OnChange func(text []byte)
-	// OnError takes why the file could not be read; what it was last stays in force.
+	// OnError is called when the file becomes unreadable, once until a read succeeds again. The previous content stays the current one.
 	OnError func(err error)
 }
 
-// Run watches until ctx ends; known is the content that is in force.
-func Run(ctx context.Context, cfg Config, known []byte) {
+// Run watches the file until ctx ends. The initial value of current is the content that the process already uses.
+func Run(ctx context.Context, cfg Config, current []byte) {
 	tick := time.NewTicker(cfg.Interval)
 	defer tick.Stop()
-	failed := false
+	unreadable := false
 	for {
 		select {
 		case <-ctx.Done():
@@ -36,12 +36,12 @@
 		}
 		text, err := os.ReadFile(cfg.Path)
 		switch {
-		case err != nil && !failed:
+		case err != nil && !unreadable:
 			cfg.OnError(err)
-		case err == nil && !bytes.Equal(text, known):
-			known = text
+		case err == nil && !bytes.Equal(text, current):
+			current = text
 			cfg.OnChange(text)
 		}
-		failed = err != nil
+		unreadable = err != nil
 	}
 }
--- a/internal/wire/coap/coap.go
+++ b/internal/wire/coap/coap.go
@@ -1,4 +1,4 @@
-// Package coap classifies CoAP datagrams and writes the answers that instances give by themselves.
+// Package coap classifies CoAP datagrams and encodes the responses that instances generate themselves. Bindings travel in the Echo option.
 package coap
 
 import (
@@ -15,21 +15,22 @@
 )
 
 const (
-	optionLimit = 64
-	// blockShift drops the size and the more bit of a Block1 option.
-	blockShift = 4
+	// maxOptions is the capacity of the option list for decoding.
+	maxOptions = 64
+	// block1NumberShift shifts out the block size and the more flag of a Block1 option (RFC 7959).
+	block1NumberShift = 4
 )
 
-// ErrNotRequest is returned for a datagram that no caller sends.
-var ErrNotRequest = eris.New("not a request and not a reply to a message")
+// ErrNotRequest is returned for a datagram from a caller that is neither a request nor an acknowledgement or reset.
+var ErrNotRequest = eris.New("message is neither a request nor an acknowledgement or reset")
 
 func decode(raw []byte) (m message.Message, err error) {
-	m.Options = make(message.Options, 0, optionLimit)
+	m.Options = make(message.Options, 0, maxOptions)
 	_, err = coder.DefaultCoder.Decode(raw, &m)
 	return m, err
 }
 
-// ParsePacket returns what the decision packages must know of a caller's datagram.
+// ParsePacket decodes and classifies a caller's datagram; the packet references raw.
 func ParsePacket(flow model.FlowKey, raw []byte) (p model.Packet, err error) {
 	defer func() {
 		if err != nil {
@@ -60,13 +61,13 @@
 	return p, nil
 }
 
-// The methods of RFC 8132, which the codec does not name.
+// The methods of RFC 8132, for which the codec has no constants.
 const (
 	codeFETCH  codes.Code = 5
 	codeIPATCH codes.Code = 7
 )
 
-// idempotent holds the methods that may run twice.
+// idempotent holds the methods whose requests may run more than once.
 var idempotent = map[codes.Code]bool{
 	codes.GET:    true,
 	codes.PUT:    true,
@@ -75,21 +76,23 @@
 	codeIPATCH:   true,
 }
 
+// classify returns the class of a request, and the number of the block that it carries in a block-wise transfer.
 func classify(m message.Message) (model.Class, uint32) {
-	block, err := m.Options.GetUint32(message.Block1)
+	option, err := m.Options.GetUint32(message.Block1)
 	transfer := err == nil
-	part := block >> blockShift
+	number := option >> block1NumberShift
 	switch {
 	case !idempotent[m.Code]:
-		return model.ClassOnce, part
+		return model.ClassOnce, number
 	case transfer || m.Options.HasOption(message.Observe):
-		return model.ClassSticky, part
+		return model.ClassSticky, number
 	default:
 		return model.ClassIdempotent, 0
 	}
 }
 
-// digest covers what makes a request the same request: all but its token, message ID and binding.
+// digest returns a hash by which copies of a request are recognised. It covers all but the message type, the message ID, the token and the
+// Echo option, which may differ between copies.
 func digest(m message.Message) uint64 {
 	var h xxhash.Digest
 	h.Reset()
@@ -109,7 +112,7 @@
 	return h.Sum64()
 }
 
-// ParseAnswer returns what the decision packages must know of an upstream's datagram.
+// ParseAnswer decodes and classifies an upstream's datagram; the answer references raw.
 func ParseAnswer(flow model.FlowKey, raw []byte) (a model.Answer, err error) {
 	m, err := decode(raw)
 	if err != nil {
@@ -139,25 +142,27 @@
 	}
 }
 
-// The diagnostic texts that callers may compare.
+// The prefixes of the diagnostic payloads, which callers may compare; a colon and the reason follow. TextNotRun and TextRejected belong to
+// response code 5.03, TextUnknown to 5.04.
 const (
 	TextNotRun   = "not run"
 	TextRejected = "refused"
 	TextUnknown  = "outcome unknown"
 )
 
-// Challenge answers a request with the binding to repeat it with.
+// Challenge returns a 4.01 response with a binding, with which the caller must repeat the request.
 func Challenge(p *model.Packet, binding []byte) ([]byte, error) {
 	opts := message.Options{{ID: message.Echo, Value: binding}}
 	return reply(p, codes.Unauthorized, opts, "")
 }
 
-// Reject answers a request that is turned away. Only of one that is not idempotent it is known that no copy was run.
-func Reject(p *model.Packet, reason model.Reason, after time.Duration) ([]byte, error) {
+// Reject returns a 5.03 response for a request that is not forwarded, with Max-Age as the time after which the caller may try again. The text
+// is TextNotRun if the request is not idempotent, because then no copy of it has run; a copy of an idempotent request may have.
+func Reject(p *model.Packet, reason model.Reason, retryAfter time.Duration) ([]byte, error) {
 	var buf [4]byte
-	opts, _, err := message.Options{}.SetUint32(buf[:], message.MaxAge, uint32(after/time.Second))
+	opts, _, err := message.Options{}.SetUint32(buf[:], message.MaxAge, uint32(retryAfter/time.Second))
 	if err != nil {
-		return nil, eris.Wrap(err, "coap: refuse")
+		return nil, eris.Wrap(err, "coap: reject")
 	}
 	text := TextRejected
 	if p.Class == model.ClassOnce {
@@ -166,7 +171,7 @@
 	return reply(p, codes.ServiceUnavailable, opts, text+": "+reason.String())
 }
 
-// OutcomeUnknown answers a request whose outcome is not known.
+// OutcomeUnknown returns a 5.04 response for a request that may or may not have run.
 func OutcomeUnknown(p *model.Packet, reason model.Reason) ([]byte, error) {
 	return reply(p, codes.GatewayTimeout, nil, TextUnknown+": "+reason.String())
 }
@@ -189,7 +194,7 @@
 	return message.NonConfirmable
 }
 
-// Readdress returns a kept answer as the answer to another copy of its request.
+// Readdress returns a stored answer with the token, message ID and type that match another copy of its request.
 func Readdress(raw []byte, p *model.Packet) ([]byte, error) {
 	m, err := decode(raw)
 	if err != nil {
@@ -201,7 +206,7 @@
 	return encode(m)
 }
 
-// RenewBinding returns an answer with a fresh binding for its stream.
+// RenewBinding returns an answer with its binding replaced by a new one.
 func RenewBinding(raw, binding []byte) ([]byte, error) {
 	m, err := decode(raw)
 	if err != nil {
--- a/internal/wire/coap/coap_test.go
+++ b/internal/wire/coap/coap_test.go
@@ -36,16 +36,16 @@
 	cases := map[string]struct {
 		message message.Message
 		class   model.Class
-		part    uint32
+		block   uint32
 	}{
-		"read":              {message: request(codes.GET), class: model.ClassIdempotent},
-		"replace":           {message: request(codes.PUT), class: model.ClassIdempotent},
-		"booking":           {message: request(codes.POST), class: model.ClassOnce},
-		"stream":            {message: request(codes.GET, observe), class: model.ClassSticky},
-		"photograph":        {message: request(codes.PUT, block), class: model.ClassSticky, part: 1},
-		"claim in parts":    {message: request(codes.POST, block), class: model.ClassOnce, part: 1},
-		"acknowledgement":   {message: message.Message{Code: codes.Empty, Type: message.Acknowledgement, MessageID: 7}, class: model.ClassReply},
-		"a message refused": {message: message.Message{Code: codes.Empty, Type: message.Reset, MessageID: 7}, class: model.ClassReply},
+		"GET":              {message: request(codes.GET), class: model.ClassIdempotent},
+		"PUT":              {message: request(codes.PUT), class: model.ClassIdempotent},
+		"POST":             {message: request(codes.POST), class: model.ClassOnce},
+		"GET with Observe": {message: request(codes.GET, observe), class: model.ClassSticky},
+		"PUT with Block1":  {message: request(codes.PUT, block), class: model.ClassSticky, block: 1},
+		"POST with Block1": {message: request(codes.POST, block), class: model.ClassOnce, block: 1},
+		"acknowledgement":  {message: message.Message{Code: codes.Empty, Type: message.Acknowledgement, MessageID: 7}, class: model.ClassReply},
+		"reset":            {message: message.Message{Code: codes.Empty, Type: message.Reset, MessageID: 7}, class: model.ClassReply},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -53,12 +53,12 @@
 			p, err := coap.ParsePacket(flow, encode(t, tc.message))
 			is.NoErr(err)
 			is.Equal(p.Class, tc.class)
-			is.Equal(p.Block, tc.part)
+			is.Equal(p.Block, tc.block)
 		})
 	}
 }
 
-// TestDigest checks that copies of a request are the same request, and that other content is not.
+// TestDigest checks that copies of a request with another token, message ID or binding have the same digest, and other requests another.
 func TestDigest(t *testing.T) {
 	is := is.New(t)
 	first, err := coap.ParsePacket(flow, encode(t, request(codes.POST)))
@@ -80,8 +80,8 @@
 		message message.Message
 		want    model.Outcome
 	}{
-		"done":          {message: request(codes.Changed), want: model.OutcomeDone},
-		"shed":          {message: request(codes.ServiceUnavailable), want: model.OutcomeNotRun},
+		"success":       {message: request(codes.Changed), want: model.OutcomeDone},
+		"unavailable":   {message: request(codes.ServiceUnavailable), want: model.OutcomeNotRun},
 		"notification":  {message: request(codes.Content, message.Option{ID: message.Observe}), want: model.OutcomeNotification},
 		"empty message": {message: message.Message{Code: codes.Empty, Type: message.Acknowledgement, MessageID: 7}, want: model.OutcomeControl},
 	}
@@ -126,7 +126,7 @@
 			return
 		}
 		if _, err := coap.OutcomeUnknown(&p, model.ReasonAnswerLost); err != nil {
-			t.Errorf("what was read cannot be answered: %v", err)
+			t.Errorf("no response to a parsed packet: %v", err)
 		}
 	})
 }
--- a/internal/wire/frame/frame.go
+++ b/internal/wire/frame/frame.go
@@ -1,4 +1,5 @@
-// Package frame reads and writes the PROXY protocol header that precedes each datagram.
+// Package frame parses and formats datagrams with a PROXY protocol version 2 header, in which the network fabric, instances and upstreams
+// exchange packets.
 package frame
 
 import (
@@ -13,38 +14,39 @@
 	"hawthorncourse/internal/core/model"
 )
 
+// The types of the custom TLVs, by the fields of Frame that they carry, and the version of the protocol.
 const (
-	typeHops = proxyproto.PP2_TYPE_MIN_CUSTOM
-	typeFrom = proxyproto.PP2_TYPE_MIN_CUSTOM + 1
-	typeTo   = proxyproto.PP2_TYPE_MIN_CUSTOM + 2
+	typeHops     = proxyproto.PP2_TYPE_MIN_CUSTOM
+	typeFrom     = proxyproto.PP2_TYPE_MIN_CUSTOM + 1
+	typeUpstream = proxyproto.PP2_TYPE_MIN_CUSTOM + 2
 
 	version = 2
 )
 
 // The errors of Parse.
 var (
-	ErrAddresses = eris.New("header names no pair of UDP addresses")
-	ErrCommand   = eris.New("header does not say PROXY")
-	ErrTLV       = eris.New("header holds a bad field")
+	ErrAddresses = eris.New("header does not hold two valid UDP addresses")
+	ErrCommand   = eris.New("header is not version 2 with the command PROXY")
+	ErrTLV       = eris.New("header holds a malformed TLV")
 )
 
-// Frame is one datagram with what its header says.
+// Frame is a datagram with the content of its header.
 type Frame struct {
 	// Source and Dest are the caller and the service, or the reverse for answers.
 	Source, Dest netip.AddrPort
-	// Boot is the upstream's start, from the unique-ID field; zero if absent.
+	// Boot identifies the start of the upstream that sent an answer, from the unique ID TLV; zero if absent.
 	Boot model.BootID
-	// Hops counts the instances that handed the packet on.
+	// Hops is the number of instances that have handed the packet to another instance.
 	Hops uint8
-	// From is the upstream of an answer handed between instances; otherwise invalid.
+	// From is the address of the upstream that sent an answer which is handed between instances; otherwise invalid.
 	From netip.AddrPort
-	// Upstream is the upstream that a peer found for the packet; empty for none.
+	// Upstream is the upstream that the sending instance has determined for the packet; empty if none.
 	Upstream model.UpstreamID
-	// Payload is the datagram behind the header.
+	// Payload is the datagram after the header.
 	Payload []byte
 }
 
-// Parse splits a datagram into header and payload; the payload shares its memory.
+// Parse parses a datagram; the frame's payload references it.
 func Parse(datagram []byte) (f Frame, err error) {
 	defer func() {
 		if err != nil {
@@ -62,7 +64,7 @@
 	if !ok {
 		return Frame{}, ErrAddresses
 	}
-	f = Frame{Source: clean(source), Dest: clean(dest), Payload: payload}
+	f = Frame{Source: unmap(source), Dest: unmap(dest), Payload: payload}
 	if !f.Source.IsValid() || !f.Dest.IsValid() {
 		return Frame{}, ErrAddresses
 	}
@@ -71,14 +73,14 @@
 		return Frame{}, err
 	}
 	for _, tlv := range tlvs {
-		if err := f.read(tlv); err != nil {
+		if err := f.readTLV(tlv); err != nil {
 			return Frame{}, err
 		}
 	}
 	return f, nil
 }
 
-func (f *Frame) read(tlv proxyproto.TLV) error {
+func (f *Frame) readTLV(tlv proxyproto.TLV) error {
 	switch tlv.Type {
 	case proxyproto.PP2_TYPE_UNIQUE_ID:
 		f.Boot = BootOf(tlv.Value)
@@ -87,7 +89,7 @@
 			return ErrTLV
 		}
 		f.Hops = tlv.Value[0]
-	case typeTo:
+	case typeUpstream:
 		f.Upstream = model.UpstreamID(tlv.Value)
 	case typeFrom:
 		if err := f.From.UnmarshalBinary(tlv.Value); err != nil {
@@ -97,7 +99,7 @@
 	return nil
 }
 
-// BootOf returns the boot identity that an upstream's unique ID stands for.
+// BootOf returns the boot ID for the value of a unique ID TLV: its number if the value has eight bytes, otherwise a hash.
 func BootOf(id []byte) model.BootID {
 	if len(id) == 8 {
 		return model.BootID(binary.BigEndian.Uint64(id))
@@ -105,7 +107,7 @@
 	return model.BootID(xxhash.Sum64(id))
 }
 
-// Format returns the frame as one datagram.
+// Format encodes the frame as a datagram.
 func Format(f Frame) (datagram []byte, err error) {
 	defer func() {
 		if err != nil {
@@ -139,7 +141,7 @@
 		tlvs = append(tlvs, proxyproto.TLV{Type: typeHops, Value: []byte{f.Hops}})
 	}
 	if f.Upstream != "" {
-		tlvs = append(tlvs, proxyproto.TLV{Type: typeTo, Value: []byte(f.Upstream)})
+		tlvs = append(tlvs, proxyproto.TLV{Type: typeUpstream, Value: []byte(f.Upstream)})
 	}
 	if f.From.IsValid() {
 		value, _ := f.From.MarshalBinary()
@@ -148,7 +150,8 @@
 	return tlvs
 }
 
-func clean(addr *net.UDPAddr) netip.AddrPort {
+// unmap converts an address to its netip form, and an IPv4-mapped IPv6 address to IPv4.
+func unmap(addr *net.UDPAddr) netip.AddrPort {
 	ap := addr.AddrPort()
 	return netip.AddrPortFrom(ap.Addr().Unmap(), ap.Port())
 }
--- a/internal/wire/frame/frame_test.go
+++ b/internal/wire/frame/frame_test.go
@@ -9,7 +9,7 @@
 	"hawthorncourse/internal/wire/frame"
 )
 
-func sample() frame.Frame {
+func fullFrame() frame.Frame {
 	return frame.Frame{
 		Source:   netip.MustParseAddrPort("127.0.0.4:40000"),
 		Dest:     netip.MustParseAddrPort("127.0.0.10:5683"),
@@ -22,11 +22,11 @@
 }
 
 func TestRoundTrip(t *testing.T) {
-	six := sample()
-	six.Source, six.Dest = netip.MustParseAddrPort("[::1]:1"), netip.MustParseAddrPort("[::2]:2")
-	bare := sample()
-	bare.Boot, bare.Hops, bare.From, bare.Upstream, bare.Payload = 0, 0, netip.AddrPort{}, "", []byte{}
-	cases := map[string]frame.Frame{"every field": sample(), "version 6": six, "bare": bare}
+	ipv6 := fullFrame()
+	ipv6.Source, ipv6.Dest = netip.MustParseAddrPort("[::1]:1"), netip.MustParseAddrPort("[::2]:2")
+	minimal := fullFrame()
+	minimal.Boot, minimal.Hops, minimal.From, minimal.Upstream, minimal.Payload = 0, 0, netip.AddrPort{}, "", []byte{}
+	cases := map[string]frame.Frame{"all fields": fullFrame(), "IPv6": ipv6, "no optional fields": minimal}
 	for name, want := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -39,19 +39,19 @@
 	}
 }
 
-func TestParseRefuses(t *testing.T) {
-	good, _ := frame.Format(sample())
-	stream := append([]byte{}, good...)
+func TestParseRejects(t *testing.T) {
+	valid, _ := frame.Format(fullFrame())
+	stream := append([]byte{}, valid...)
 	stream[13] = 0x11
-	local := append([]byte{}, good...)
+	local := append([]byte{}, valid...)
 	local[12] = 0x20
 	cases := map[string][]byte{
-		"nothing":         {},
-		"no header":       []byte("CON GET /hives"),
-		"a short header":  good[:20],
-		"TCP addresses":   stream,
-		"a LOCAL command": local,
-		"version 1":       []byte("PROXY TCP4 127.0.0.1 127.0.0.2 1 2\r\nx"),
+		"empty":         {},
+		"no header":     []byte("CON GET /hives"),
+		"short header":  valid[:20],
+		"TCP addresses": stream,
+		"LOCAL command": local,
+		"version 1":     []byte("PROXY TCP4 127.0.0.1 127.0.0.2 1 2\r\nx"),
 	}
 	for name, raw := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -63,16 +63,16 @@
 }
 
 func FuzzParse(f *testing.F) {
-	good, _ := frame.Format(sample())
-	f.Add(good)
-	f.Add(good[:30])
+	valid, _ := frame.Format(fullFrame())
+	f.Add(valid)
+	f.Add(valid[:30])
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		fr, err := frame.Parse(raw)
 		if err != nil {
 			return
 		}
 		if _, err := frame.Format(fr); err != nil {
-			t.Errorf("what was parsed cannot be written: %v", err)
+			t.Errorf("parsed frame cannot be formatted: %v", err)
 		}
 	})
 }
