--- a/internal/bench/drive/balance.go
+++ b/internal/bench/drive/balance.go
@@ -10,7 +10,7 @@
 func Busy(nodes []*upnode.Node) map[string]time.Duration {
 	out := map[string]time.Duration{}
 	for _, n := range nodes {
-		out[n.Name()] = n.Journal().Busy
+		out[n.Name()] = n.Stats().BusyTime
 	}
 	return out
 }
@@ -19,7 +19,7 @@
 func Imbalance(nodes []*upnode.Node, before map[string]time.Duration) float64 {
 	var top, sum time.Duration
 	for _, n := range nodes {
-		busy := n.Journal().Busy - before[n.Name()]
+		busy := n.Stats().BusyTime - before[n.Name()]
 		top, sum = max(top, busy), sum+busy
 	}
 	if sum == 0 {
--- a/internal/bench/drive/drive.go
+++ b/internal/bench/drive/drive.go
@@ -105,10 +105,10 @@
 	l.serial++
 	n := l.serial
 	c, err := caller.New(caller.Config{
-		Local:    l.cfg.Fleet.CallerIP(),
-		Service:  l.cfg.Fleet.Services[id],
-		Seed:     l.cfg.Seed + uint64(n),
-		Patience: patience,
+		Local:   l.cfg.Fleet.CallerIP(),
+		Service: l.cfg.Fleet.Services[id],
+		Seed:    l.cfg.Seed + uint64(n),
+		Timeout: patience,
 	})
 	if err != nil {
 		return err
@@ -127,14 +127,14 @@
 }
 
 func (l *Load) stream(ctx context.Context, c *caller.Caller, n int) {
-	cfg := caller.StreamConfig{Path: "alerts", Refresh: l.cfg.Refresh, Silence: silenceLimit}
-	c.Stream(ctx, cfg, func(r caller.StreamReport) {
+	cfg := caller.StreamConfig{Path: "alerts", RefreshInterval: l.cfg.Refresh, StallTimeout: silenceLimit}
+	c.RunStream(ctx, cfg, func(r caller.StreamReport) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		s := l.streams[n]
 		s.StreamReport = r
 		if s.First == "" {
-			s.First, _, _ = strings.Cut(r.Upstream, "/")
+			s.First, _, _ = strings.Cut(r.StreamID, "/")
 		}
 		l.streams[n] = s
 	})
@@ -146,7 +146,7 @@
 		res := c.Do(context.Background(), caller.Request{Code: codes.POST, Path: "bookings", Payload: ref})
 		l.mu.Lock()
 		l.bookings = append(l.bookings, Booking{Ref: ref, Outcome: res.Outcome, At: time.Now()})
-		l.note(res, strings.HasSuffix(res.Text, " "+ref), ref)
+		l.note(res, strings.HasSuffix(res.Payload, " "+ref), ref)
 		l.mu.Unlock()
 		time.Sleep(l.cfg.Think)
 	}
@@ -158,7 +158,7 @@
 		res := c.Do(context.Background(), caller.Request{Code: codes.GET, Path: "hives", Query: query})
 		l.mu.Lock()
 		l.reads[res.Outcome]++
-		l.note(res, strings.Contains(res.Text, " "+query+" "), query)
+		l.note(res, strings.Contains(res.Payload, " "+query+" "), query)
 		l.mu.Unlock()
 		time.Sleep(l.cfg.Think)
 	}
@@ -167,12 +167,12 @@
 // note keeps what a caller was told; mu must be held.
 func (l *Load) note(res caller.Result, own bool, request string) {
 	if res.Outcome != caller.OutcomeDone {
-		l.refused[res.Outcome.String()+": "+res.Text]++
+		l.refused[res.Outcome.String()+": "+res.Payload]++
 		return
 	}
 	_ = l.latency.RecordValue(res.Latency.Microseconds())
 	if !own {
-		l.crossed = append(l.crossed, request+" got "+res.Text)
+		l.crossed = append(l.crossed, request+" got "+res.Payload)
 	}
 }
 
@@ -212,7 +212,7 @@
 func (l *Load) Broken() []Stream {
 	var out []Stream
 	for _, s := range l.Streams() {
-		if s.Broken() > 0 {
+		if s.Breaks() > 0 {
 			out = append(out, s)
 		}
 	}
--- a/internal/bench/drive/verify.go
+++ b/internal/bench/drive/verify.go
@@ -41,9 +41,9 @@
 	var out []Breach
 	runs := map[string]int{}
 	for _, n := range l.cfg.Fleet.Nodes {
-		j := n.Journal()
+		j := n.Stats()
 		out = append(out, verifyJournal(n.Name(), j, limits)...)
-		for ref, count := range j.Runs {
+		for ref, count := range j.Executions {
 			runs[ref] += count
 		}
 	}
@@ -59,15 +59,15 @@
 	return out
 }
 
-func verifyJournal(name string, j upnode.Journal, limits Limits) (out []Breach) {
-	if j.Foreign > 0 {
-		out = append(out, Breach{Promise: PromiseService, Text: fmt.Sprintf("%s got %d packets of another service", name, j.Foreign)})
+func verifyJournal(name string, j upnode.Stats, limits Limits) (out []Breach) {
+	if j.Misrouted > 0 {
+		out = append(out, Breach{Promise: PromiseService, Text: fmt.Sprintf("%s got %d packets of another service", name, j.Misrouted)})
 	}
-	if j.ColdPeak > limits.ColdSlots {
-		out = append(out, Breach{Promise: PromiseCold, Text: fmt.Sprintf("%s had %d requests at once, it bears %d", name, j.ColdPeak, limits.ColdSlots)})
+	if j.MaxColdRunning > limits.ColdSlots {
+		out = append(out, Breach{Promise: PromiseCold, Text: fmt.Sprintf("%s had %d requests at once, it bears %d", name, j.MaxColdRunning, limits.ColdSlots)})
 	}
-	if j.ColdOpened > limits.ColdConnections {
-		out = append(out, Breach{Promise: PromiseCold, Text: fmt.Sprintf("%s had %d streams opened, it bears %d", name, j.ColdOpened, limits.ColdConnections)})
+	if j.MaxColdOpened > limits.ColdConnections {
+		out = append(out, Breach{Promise: PromiseCold, Text: fmt.Sprintf("%s had %d streams opened, it bears %d", name, j.MaxColdOpened, limits.ColdConnections)})
 	}
 	return out
 }
--- a/internal/bench/fleet/fleet.go
+++ b/internal/bench/fleet/fleet.go
@@ -193,7 +193,7 @@
 		f.Services[s.ID] = addr
 		services = append(services, addr)
 	}
-	f.Fabric, err = spray.New(spray.Config{Inside: f.addr(0, 2, portFabric), Services: services, Seed: f.cfg.Seed, Duplicate: f.cfg.Setup.Duplicate})
+	f.Fabric, err = spray.New(spray.Config{EgressAddress: f.addr(0, 2, portFabric), Services: services, Seed: f.cfg.Seed, DuplicateRate: f.cfg.Setup.Duplicate})
 	if err != nil {
 		return err
 	}
@@ -238,7 +238,7 @@
 		targets = append(targets, in.Front)
 		list = append(list, object.Instance{ID: in.ID, Domain: in.Domain, Control: in.Advertise, Leaving: in.leaving})
 	}
-	f.Fabric.SetTargets(targets)
+	f.Fabric.SetInstances(targets)
 	f.listInstances(list)
 }
 
--- a/internal/bench/fleet/instance.go
+++ b/internal/bench/fleet/instance.go
@@ -119,7 +119,7 @@
 		Advertise:     in.Advertise.String(),
 		AdvertiseHand: in.AdvertiseHand.String(),
 		Admin:         in.Admin.String(),
-		Fabric:        f.Fabric.Inside().String(),
+		Fabric:        f.Fabric.EgressAddress().String(),
 		Platform:      "http://" + f.platformAddr.String(),
 		LogLevel:      level,
 		Policy:        f.cfg.Policy,
--- a/internal/bench/fleet/setup.go
+++ b/internal/bench/fleet/setup.go
@@ -106,18 +106,18 @@
 		slower += (s.Slowest - 1) * float64(n) / float64(svc.Upstreams-1)
 	}
 	return upnode.Config{
-		Name:            upstreamName(svc, n),
-		Service:         service,
-		Address:         addr,
-		Slots:           svc.Slots,
-		Connections:     svc.Connections,
-		ColdSlots:       coldShareOfSlots,
-		ColdConnections: coldConnections,
-		ColdFor:         s.ColdFor,
-		ServiceTime:     time.Duration(slower * float64(s.ServiceTime)),
-		NoticeEvery:     s.NoticeEvery,
-		Opaque:          svc.Kind == "datagram",
-		Seed:            seed + uint64(n),
+		Name:                 upstreamName(svc, n),
+		Service:              service,
+		Address:              addr,
+		Slots:                svc.Slots,
+		Connections:          svc.Connections,
+		ColdSlots:            coldShareOfSlots,
+		ColdConnections:      coldConnections,
+		ColdFor:              s.ColdFor,
+		RequestTime:          time.Duration(slower * float64(s.ServiceTime)),
+		NotificationInterval: s.NoticeEvery,
+		Opaque:               svc.Kind == "datagram",
+		Seed:                 seed + uint64(n),
 	}
 }
 
@@ -242,7 +242,7 @@
 		ID:              upstreamName(svc, n),
 		Domain:          string(s.domainOf(n)),
 		Address:         addr.String(),
-		Health:          f.Nodes[node].Health().String(),
+		Health:          f.Nodes[node].HealthAddress().String(),
 		Slots:           svc.Slots,
 		Connections:     svc.Connections,
 		ColdSlots:       coldShareOfSlots,
--- a/internal/bench/tools/path.go
+++ b/internal/bench/tools/path.go
@@ -82,7 +82,7 @@
 }
 
 func (c *pathCommand) measure(f *fleet.Fleet, targets []netip.AddrPort) (r pathFigures, err error) {
-	f.Fabric.SetTargets(targets)
+	f.Fabric.SetInstances(targets)
 	load, err := drive.Start(drive.Config{Fleet: f, Readers: c.readers, Refresh: time.Second, Seed: c.seed})
 	if err != nil {
 		return r, err
--- a/internal/proof/direct/direct_test.go
+++ b/internal/proof/direct/direct_test.go
@@ -206,7 +206,7 @@
 			time.Sleep(calm)
 			tc.fault(s)
 			time.Sleep(tc.settle)
-			s.load.Forget()
+			s.load.ResetCounts()
 			if tc.after != nil {
 				tc.after(s)
 			}
@@ -228,7 +228,7 @@
 	var w status.WireRelayReport
 	s.await(startLimit, "the instance has a number and knows what is out", func() bool {
 		var err error
-		w, err = status.FetchRelay(s.ctx, p.Metrics())
+		w, err = status.FetchRelay(s.ctx, p.MetricsAddress())
 		return err == nil && w.OrdinalCount > 0 && len(w.DomainsOut) == 1
 	})
 	is.Equal(w.Instance, p.Settings.Name)
@@ -237,12 +237,12 @@
 	is.Equal(len(w.Upstreams), len(s.upstreams))
 	is.Equal(len(w.Unreadable), 2)
 	is.True(w.AgeMs < changeBy.Milliseconds())
-	out, err := exec.Command(binary, "status", "-relay", p.Metrics()).CombinedOutput()
+	out, err := exec.Command(binary, "status", "-relay", p.MetricsAddress()).CombinedOutput()
 	is.NoErr(err)
 	for _, text := range []string{"failure domains out: [west]", s.upstreams[0].Name(), "claims"} {
 		is.True(strings.Contains(string(out), text))
 	}
-	res, err := http.Get("http://" + p.Metrics() + "/metrics")
+	res, err := http.Get("http://" + p.MetricsAddress() + "/metrics")
 	is.NoErr(err)
 	defer res.Body.Close()
 	text, err := io.ReadAll(res.Body)
--- a/internal/proof/direct/harness_test.go
+++ b/internal/proof/direct/harness_test.go
@@ -61,11 +61,11 @@
 
 // scene is a stage with its load.
 type scene struct {
-	*stage.Stage
+	*stage.Environment
 	t         *testing.T
 	ctx       context.Context
 	upstreams []*stand.Upstream
-	load      *crowd.Crowd
+	load      *crowd.Generator
 }
 
 // newScene starts two instances and three upstreams in each of two failure domains, and callers.
@@ -74,15 +74,15 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &scene{t: t, ctx: ctx}
 	var err error
-	s.Stage, err = stage.New(ctx, stage.Config{
+	s.Environment, err = stage.New(ctx, stage.Config{
 		Binary: binary, Dir: t.TempDir(), Subnet: firstSubnet + int(subnets.Add(1)), Domains: []string{"east", "west"}, Instances: 4,
-		Services: []string{"desk", "desk", "desk", "desk", "claims", "claims"}, Routes: []stand.Route{feed, order, photo}, Work: work, ChangeBy: changeBy,
+		Services: []string{"desk", "desk", "desk", "desk", "claims", "claims"}, Routes: []stand.Route{feed, order, photo}, RequestTime: work, MaxStaleness: changeBy,
 	})
 	s.check(err)
 	s.upstreams = s.Upstreams()
 	s.load = crowd.Start(ctx, crowd.Config{
-		Callers: s.Callers, Loops: loops, Deadline: deadline, Think: thinkTime,
-		Kinds: []crowd.Kind{
+		Callers: s.Callers, Concurrency: loops, Deadline: deadline, ThinkTime: thinkTime,
+		Workloads: []crowd.Workload{
 			{Name: "feed", Address: feedAddress, Service: "desk", Idempotent: true},
 			{Name: "desk", Address: orderAddress, Service: "desk"},
 			{Name: "claims", Address: photoAddress, Service: "claims"},
@@ -121,8 +121,8 @@
 // checkServed checks that every request since the last reset of counts was served.
 func (s *scene) checkServed() {
 	s.t.Helper()
-	if c := s.load.Counts(); c.Failed > 0 || c.Broken > 0 || c.Served == 0 {
-		s.t.Errorf("%d served, %d failed, %d flows broken", c.Served, c.Failed, c.Broken)
+	if c := s.load.Counts(); c.Failed > 0 || c.BrokenFlows > 0 || c.Served == 0 {
+		s.t.Errorf("%d served, %d failed, %d flows broken", c.Served, c.Failed, c.BrokenFlows)
 	}
 }
 
@@ -144,7 +144,7 @@
 			s.t.Errorf("%s ran %d times", id, n)
 		}
 	}
-	for _, fault := range s.load.Faults() {
+	for _, fault := range s.load.WrongResponses() {
 		s.t.Error(fault)
 	}
 	for _, c := range s.Callers {
@@ -153,7 +153,7 @@
 		}
 	}
 	for _, p := range s.Processes {
-		for _, err := range p.Faults() {
+		for _, err := range p.UnexpectedExits() {
 			s.t.Error(err)
 		}
 	}
--- a/internal/proof/soak/checks_test.go
+++ b/internal/proof/soak/checks_test.go
@@ -59,7 +59,7 @@
 			continue
 		}
 		p := r.Processes[rng.IntN(len(r.Processes))]
-		if !p.Runs() || !p.Ready() {
+		if !p.Running() || !p.Ready() {
 			continue
 		}
 		seen := probe{instance: p.Settings.Name, pid: p.PID(), address: at, at: time.Now()}
@@ -129,13 +129,13 @@
 // checkRecovery checks that everything is served once all faults are over.
 func (r *run) checkRecovery() {
 	time.Sleep(recoverBy)
-	r.load.Forget()
+	r.load.ResetCounts()
 	time.Sleep(calmTime)
-	if c := r.load.Counts(); c.Failed > 0 || c.Broken > 0 || c.Served == 0 {
-		r.violate("after recovery %d served, %d failed, %d flows broken", c.Served, c.Failed, c.Broken)
+	if c := r.load.Counts(); c.Failed > 0 || c.BrokenFlows > 0 || c.Served == 0 {
+		r.violate("after recovery %d served, %d failed, %d flows broken", c.Served, c.Failed, c.BrokenFlows)
 	}
 	for _, p := range r.Processes {
-		if kb := peakMemory(p); p.Runs() && kb > memoryLimit {
+		if kb := peakMemory(p); p.Running() && kb > memoryLimit {
 			r.violate("%s has held %d KB", p.Settings.Name, kb)
 		}
 	}
@@ -168,7 +168,7 @@
 	r.checkRoutes()
 	r.checkRegress()
 	for _, p := range r.Processes {
-		for _, err := range p.Faults() {
+		for _, err := range p.UnexpectedExits() {
 			r.violate("%v", err)
 		}
 	}
@@ -193,7 +193,7 @@
 			r.violate("%s ran %d times", id, n)
 		}
 	}
-	for _, fault := range r.load.Faults() {
+	for _, fault := range r.load.WrongResponses() {
 		r.violate("%s", fault)
 	}
 	for _, c := range r.Callers {
--- a/internal/proof/soak/faults_test.go
+++ b/internal/proof/soak/faults_test.go
@@ -72,7 +72,7 @@
 	p := s.process(d.process)
 	s.lives[p].Lock()
 	defer s.lives[p].Unlock()
-	name, began, young := p.Settings.Name, time.Now(), p.Age() < startUp
+	name, began, young := p.Settings.Name, time.Now(), p.Uptime() < startUp
 	defer s.ledger.harm(name)()
 	s.note("%s stops", name)
 	code, err := p.Stop(stopBy)
@@ -105,7 +105,7 @@
 	if err := p.WriteSettings(); err != nil {
 		s.violate("%v", err)
 	}
-	if d.coin && p.Age() > startUp {
+	if d.coin && p.Uptime() > startUp {
 		p.Signal(syscall.SIGHUP)
 	}
 }
@@ -164,8 +164,8 @@
 	if d.coin {
 		for _, p := range s.Processes {
 			if p.Settings.Domain == d.domain {
-				p.Door.SetOutage(stand.OutageHang)
-				defer p.Door.SetOutage(stand.OutageNone)
+				p.StoreProxy.SetOutage(stand.OutageHang)
+				defer p.StoreProxy.SetOutage(stand.OutageNone)
 			}
 		}
 	}
@@ -176,8 +176,8 @@
 	p := s.process(d.process)
 	s.note("%s is cut off for %s, from the store too: %v", p.Settings.Name, d.long, d.coin)
 	if d.coin {
-		p.Door.SetOutage(stand.OutageHang)
-		defer p.Door.SetOutage(stand.OutageNone)
+		p.StoreProxy.SetOutage(stand.OutageHang)
+		defer p.StoreProxy.SetOutage(stand.OutageNone)
 	}
 	s.cut(func(_, name string) bool { return name == p.Settings.Name }, d.long)
 }
@@ -204,15 +204,15 @@
 func (s *script) resetLinks(d draw) {
 	p := s.process(d.process)
 	defer s.ledger.harm(p.Settings.Name)()
-	s.ResetLinks(p.Number)
+	s.ResetConnections(p.Index)
 }
 
 // lossy loses a share of all packets from callers.
 func (s *script) lossy(d draw) {
 	defer s.ledger.harm(s.names()...)()
-	s.SetLossy(lossShare)
+	s.SetPacketLoss(lossShare)
 	time.Sleep(d.long)
-	s.SetLossy(0)
+	s.SetPacketLoss(0)
 }
 
 func (s *script) names() (list []string) {
@@ -226,25 +226,25 @@
 	p := s.process(d.process)
 	defer s.ledger.harm(p.Settings.Name)()
 	s.note("the store does not serve %s for %s, variant %d", p.Settings.Name, d.long, d.many%len(outages))
-	p.Door.SetOutage(outages[d.many%len(outages)])
+	p.StoreProxy.SetOutage(outages[d.many%len(outages)])
 	time.Sleep(d.long)
-	p.Door.SetOutage(stand.OutageNone)
+	p.StoreProxy.SetOutage(stand.OutageNone)
 }
 
 func (s *script) doorMute(d draw) {
 	p := s.process(d.process)
 	defer s.ledger.harm(p.Settings.Name)()
 	s.note("connections of %s to the store go silent", p.Settings.Name)
-	p.Door.StallConnections()
+	p.StoreProxy.StallConnections()
 }
 
 func (s *script) doorSlow(d draw) {
 	p := s.process(d.process)
 	defer s.ledger.harm(p.Settings.Name)()
 	s.note("the store is %s slow for %s", d.short, p.Settings.Name)
-	p.Door.SetDelay(d.short)
+	p.StoreProxy.SetDelay(d.short)
 	time.Sleep(d.long)
-	p.Door.SetDelay(0)
+	p.StoreProxy.SetDelay(0)
 }
 
 func (s *script) storeDown(d draw) {
--- a/internal/proof/soak/soak_test.go
+++ b/internal/proof/soak/soak_test.go
@@ -121,12 +121,12 @@
 
 // run is one soak.
 type run struct {
-	*stage.Stage
+	*stage.Environment
 	t      *testing.T
 	ledger *ledger
 	links  *links
 	script *script
-	load   *crowd.Crowd
+	load   *crowd.Generator
 	began  time.Time
 
 	mu sync.Mutex
@@ -147,9 +147,9 @@
 		began: time.Now(), facts: newFacts(),
 	}
 	var err error
-	r.Stage, err = stage.New(ctx, stage.Config{
+	r.Environment, err = stage.New(ctx, stage.Config{
 		Binary: binary, Dir: t.TempDir(), Subnet: firstSubnet + int(subnets.Add(1))%100, Domains: domains, Instances: *instances,
-		Services: services, Routes: routes, Work: work, ColdFor: coldFor, ChangeBy: applyBy, Tunnels: r.links,
+		Services: services, Routes: routes, RequestTime: work, ColdFor: coldFor, MaxStaleness: applyBy, Links: r.links,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -158,8 +158,8 @@
 	// The first upstreams start before the traffic and are warm then.
 	time.Sleep(coldFor)
 	r.load = crowd.Start(ctx, crowd.Config{
-		Callers: r.Callers, Loops: loops, Deadline: deadline, Think: thinkTime, Reset: r.checkReset,
-		Kinds: []crowd.Kind{
+		Callers: r.Callers, Concurrency: loops, Deadline: deadline, ThinkTime: thinkTime, OnReset: r.checkReset,
+		Workloads: []crowd.Workload{
 			{Name: "feed", Address: feedAddress, Service: "desk", Idempotent: true},
 			{Name: "order", Address: orderAddress, Service: "desk"},
 			{Name: "photo", Address: photoAddress, Service: "claims"},
--- a/internal/proof/whole/document_test.go
+++ b/internal/proof/whole/document_test.go
@@ -70,7 +70,7 @@
 func (s *stage) checkServing(domain model.DomainID, since time.Time) {
 	s.t.Helper()
 	for name, j := range s.journals() {
-		if s.UpstreamDomains()[name] == domain && j.LastNew.After(since) {
+		if s.UpstreamDomains()[name] == domain && j.LastArrival.After(since) {
 			return
 		}
 	}
@@ -273,7 +273,7 @@
 	const blocks = 40
 	is := is.New(t)
 	s := newStage(t, doubled(fleet.Ikirere()))
-	c, err := caller.New(caller.Config{Local: s.CallerIP(), Service: s.Services["field-claims"], Seed: seed, Patience: soon})
+	c, err := caller.New(caller.Config{Local: s.CallerIP(), Service: s.Services["field-claims"], Seed: seed, Timeout: soon})
 	is.NoErr(err)
 	defer c.Close()
 	var binding []byte
@@ -286,11 +286,11 @@
 		if n < blocks-1 {
 			block |= 8
 		}
-		res := c.Do(context.Background(), caller.Request{Code: codes.PUT, Path: "photos/7", Payload: fmt.Sprint("part ", n), Transfer: true, Block: block, Binding: binding})
+		res := c.Do(context.Background(), caller.Request{Code: codes.PUT, Path: "photos/7", Payload: fmt.Sprint("part ", n), Blockwise: true, Block: block, Binding: binding})
 		is.Equal(res.Outcome, caller.OutcomeDone)
-		is.True(strings.HasSuffix(res.Text, fmt.Sprint("part ", n)))
+		is.True(strings.HasSuffix(res.Payload, fmt.Sprint("part ", n)))
 		binding = res.Binding
-		name, _, _ := strings.Cut(res.Text, " ")
+		name, _, _ := strings.Cut(res.Payload, " ")
 		if first == "" {
 			first = name
 		}
--- a/internal/proof/whole/fault_test.go
+++ b/internal/proof/whole/fault_test.go
@@ -41,7 +41,7 @@
 			s.Node("ruche-service-2").Kill()
 			s.Kill(s.Instances[1])
 			time.Sleep(2 * time.Second)
-			s.Node("ruche-service-2").Start()
+			s.Node("ruche-service-2").Restart()
 			time.Sleep(8 * time.Second)
 		},
 		"upstream restarted while an instance joins": func(s *stage) {
@@ -51,7 +51,7 @@
 				s.t.Fatal(err)
 			}
 			time.Sleep(time.Second)
-			s.Node("inspection-depot-2").Start()
+			s.Node("inspection-depot-2").Restart()
 			time.Sleep(8 * time.Second)
 		},
 		"upstream sheds everything": func(s *stage) {
@@ -61,8 +61,8 @@
 			time.Sleep(2 * time.Second)
 		},
 		"load reports lie": func(s *stage) {
-			s.Node("ruche-service-1").SetLie(&upnode.Report{State: "warm", Connections: 0})
-			s.Node("ruche-service-5").SetLie(&upnode.Report{State: "warm", Connections: 1 << 20})
+			s.Node("ruche-service-1").OverrideHealth(&upnode.HealthReport{State: "warm", Connections: 0})
+			s.Node("ruche-service-5").OverrideHealth(&upnode.HealthReport{State: "warm", Connections: 1 << 20})
 			s.restart("ruche-service-1", 2*time.Second)
 			time.Sleep(8 * time.Second)
 		},
--- a/internal/proof/whole/faultnet_test.go
+++ b/internal/proof/whole/faultnet_test.go
@@ -160,7 +160,7 @@
 	if err != nil {
 		return err
 	}
-	t := tunnel.New(tunnel.Config{Listener: l, Real: real, Owner: owner, Caller: n.nameOf, Links: n})
+	t := tunnel.New(tunnel.Config{Listener: l, Target: real, ServerName: owner, ClientName: n.nameOf, Links: n})
 	n.closed = append(n.closed, t.Close)
 	return nil
 }
--- a/internal/proof/whole/flow_test.go
+++ b/internal/proof/whole/flow_test.go
@@ -70,7 +70,7 @@
 	reports = new([]caller.FlowReport)
 	for n := range opaqueFlows {
 		wg.Go(func() {
-			r, err := caller.Flow(ctx, s.CallerIP(), s.Services[model.ServiceID(opaqueService)], opaqueEvery, uint32(n+1))
+			r, err := caller.RunFlow(ctx, s.CallerIP(), s.Services[model.ServiceID(opaqueService)], opaqueEvery, uint32(n+1))
 			if err != nil {
 				s.t.Error(err)
 			}
@@ -90,15 +90,15 @@
 	s.t.Helper()
 	sent, answered, moved := 0, 0, 0
 	for _, r := range reports {
-		sent, answered = sent+r.Sent, answered+r.Answered
-		if r.Moves > 0 {
+		sent, answered = sent+r.Sent, answered+r.Replies
+		if r.UpstreamChanges > 0 {
 			moved++
 		}
-		if silent := time.Since(r.LastAnswer); silent > soon {
+		if silent := time.Since(r.LastReply); silent > soon {
 			s.t.Errorf("a flow has had no answer for %s", silent)
 		}
-		if r.Foreign > 0 {
-			s.t.Errorf("a flow got %d answers of others", r.Foreign)
+		if r.Misdelivered > 0 {
+			s.t.Errorf("a flow got %d answers of others", r.Misdelivered)
 		}
 	}
 	s.t.Logf("%d flows, %d of %d datagrams answered, %d flows moved", len(reports), answered, sent, moved)
@@ -106,11 +106,11 @@
 		s.t.Errorf("%d flows moved", moved)
 	}
 	for name, j := range s.journals() {
-		if j.Foreign != 0 {
-			s.t.Errorf("%s got %d packets of another service", name, j.Foreign)
+		if j.Misrouted != 0 {
+			s.t.Errorf("%s got %d packets of another service", name, j.Misrouted)
 		}
-		if j.ColdOpened > coldConnections {
-			s.t.Errorf("%s had %d flows opened in cold start", name, j.ColdOpened)
+		if j.MaxColdOpened > coldConnections {
+			s.t.Errorf("%s had %d flows opened in cold start", name, j.MaxColdOpened)
 		}
 	}
 }
--- a/internal/proof/whole/harness_test.go
+++ b/internal/proof/whole/harness_test.go
@@ -128,14 +128,14 @@
 func (s *stage) restart(name string, silent time.Duration) {
 	s.Node(name).Kill()
 	time.Sleep(silent)
-	s.Node(name).Start()
+	s.Node(name).Restart()
 }
 
 // journals returns what every upstream has seen, by name.
-func (s *stage) journals() map[string]upnode.Journal {
-	out := map[string]upnode.Journal{}
+func (s *stage) journals() map[string]upnode.Stats {
+	out := map[string]upnode.Stats{}
 	for _, n := range s.Nodes {
-		out[n.Name()] = n.Journal()
+		out[n.Name()] = n.Stats()
 	}
 	return out
 }
--- a/internal/proof/whole/planned_test.go
+++ b/internal/proof/whole/planned_test.go
@@ -76,7 +76,7 @@
 	s.t.Helper()
 	began := time.Now()
 	time.Sleep(soon + 4*time.Second)
-	if late := s.Node(id).Journal().LastNew; late.After(began.Add(soon)) {
+	if late := s.Node(id).Stats().LastArrival; late.After(began.Add(soon)) {
 		s.t.Errorf("leaving upstream got new work %s after the change", late.Sub(began))
 	}
 }
--- a/internal/stand/caller/caller.go
+++ b/internal/stand/caller/caller.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	maxDatagram = 64 << 10
-	optionLimit = 64
-	tokenSize   = 8
-	resendAfter = 400 * time.Millisecond
-	// stepLimit bounds how often one request follows a new binding.
-	stepLimit = 6
-	inbox     = 32
+	maxDatagram       = 64 << 10
+	maxOptions        = 64
+	tokenSize         = 8
+	retransmitTimeout = 400 * time.Millisecond
+	// maxExchanges bounds how often one request follows a new binding.
+	maxExchanges = 6
+	inboxSize    = 32
 )
 
 // Outcome is how a request ended for its caller.
@@ -56,9 +56,9 @@
 	Path    string
 	Query   string
 	Payload string
-	// Transfer is set for one block of a transfer in parts, and Block is the value of its Block1 option.
-	Transfer bool
-	Block    int
+	// Blockwise is set for one block of a transfer in parts, and Block is the value of its Block1 option.
+	Blockwise bool
+	Block     int
 	// Binding is the binding of an earlier try to repeat; empty for a new request.
 	Binding []byte
 }
@@ -66,8 +66,8 @@
 // Result is how a request ended.
 type Result struct {
 	Outcome Outcome
-	// Text is the payload of the last answer.
-	Text    string
+	// Payload is the payload of the last answer.
+	Payload string
 	Latency time.Duration
 	// Binding is the binding that the request was made with.
 	Binding []byte
@@ -81,8 +81,8 @@
 	Service netip.AddrPort
 	// Seed feeds tokens.
 	Seed uint64
-	// Patience bounds one request.
-	Patience time.Duration
+	// Timeout bounds one request.
+	Timeout time.Duration
 }
 
 // Caller is one caller with its own address.
@@ -94,7 +94,7 @@
 	// rng, messageID and waiting are guarded by mu.
 	rng       *rand.Rand
 	messageID uint16
-	waiting   map[model.Token]chan message.Message
+	pending   map[model.Token]chan message.Message
 }
 
 // New opens a caller's socket.
@@ -107,10 +107,10 @@
 		cfg:     cfg,
 		conn:    conn,
 		rng:     rand.New(rand.NewPCG(cfg.Seed, 2)),
-		waiting: map[model.Token]chan message.Message{},
+		pending: map[model.Token]chan message.Message{},
 	}
 	c.messageID = uint16(c.rng.Uint32())
-	go c.read()
+	go c.receive()
 	return c, nil
 }
 
@@ -124,14 +124,14 @@
 	return c.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-func (c *Caller) read() {
+func (c *Caller) receive() {
 	buf := make([]byte, maxDatagram)
 	for {
 		n, err := c.conn.Read(buf)
 		if err != nil {
 			return
 		}
-		m := message.Message{Options: make(message.Options, 0, optionLimit)}
+		m := message.Message{Options: make(message.Options, 0, maxOptions)}
 		if _, err := coder.DefaultCoder.Decode(append([]byte{}, buf[:n]...), &m); err != nil {
 			continue
 		}
@@ -144,13 +144,13 @@
 		c.send(message.Message{Code: codes.Empty, Type: message.Acknowledgement, MessageID: m.MessageID})
 	}
 	c.mu.Lock()
-	box := c.waiting[model.NewToken(m.Token)]
+	inbox := c.pending[model.NewToken(m.Token)]
 	c.mu.Unlock()
-	if box == nil {
+	if inbox == nil {
 		return
 	}
 	select {
-	case box <- m:
+	case inbox <- m:
 	default:
 	}
 }
@@ -168,26 +168,26 @@
 	_, _ = c.conn.Write(raw[:n])
 }
 
-// open returns a new token and the box for its answers.
-func (c *Caller) open() (message.Token, chan message.Message) {
+// openInbox returns a new token and the box for its answers.
+func (c *Caller) openInbox() (message.Token, chan message.Message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	token := make(message.Token, tokenSize)
 	for i := range token {
 		token[i] = byte(c.rng.Uint32())
 	}
-	box := make(chan message.Message, inbox)
-	c.waiting[model.NewToken(token)] = box
-	return token, box
+	inbox := make(chan message.Message, inboxSize)
+	c.pending[model.NewToken(token)] = inbox
+	return token, inbox
 }
 
-func (c *Caller) close(token message.Token) {
+func (c *Caller) closeInbox(token message.Token) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.waiting, model.NewToken(token))
+	delete(c.pending, model.NewToken(token))
 }
 
-func (c *Caller) nextID() int32 {
+func (c *Caller) nextMessageID() int32 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.messageID++
@@ -197,11 +197,11 @@
 // Do makes one request: it follows a binding, repeats what gets no answer, and gives up after the caller's patience.
 func (c *Caller) Do(ctx context.Context, req Request) Result {
 	start := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, c.cfg.Patience)
+	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
 	defer cancel()
 	binding := req.Binding
-	for range stepLimit {
-		m, ok := c.try(ctx, req, binding)
+	for range maxExchanges {
+		m, ok := c.exchange(ctx, req, binding)
 		if !ok {
 			break
 		}
@@ -209,7 +209,7 @@
 			binding, _ = m.Options.GetBytes(message.Echo)
 			continue
 		}
-		return Result{Outcome: outcomeOf(m), Text: string(m.Payload), Latency: time.Since(start), Binding: binding}
+		return Result{Outcome: outcomeOf(m), Payload: string(m.Payload), Latency: time.Since(start), Binding: binding}
 	}
 	return Result{Outcome: OutcomeTimeout, Latency: time.Since(start), Binding: binding}
 }
@@ -225,26 +225,26 @@
 	}
 }
 
-// try sends one message until it is answered or ctx ends.
-func (c *Caller) try(ctx context.Context, req Request, binding []byte) (message.Message, bool) {
-	token, box := c.open()
-	defer c.close(token)
+// exchange sends one message until it is answered or ctx ends.
+func (c *Caller) exchange(ctx context.Context, req Request, binding []byte) (message.Message, bool) {
+	token, inbox := c.openInbox()
+	defer c.closeInbox(token)
 	m := message.Message{
 		Token:     token,
 		Code:      req.Code,
 		Options:   req.options(binding),
 		Payload:   []byte(req.Payload),
-		MessageID: c.nextID(),
+		MessageID: c.nextMessageID(),
 		Type:      message.Confirmable,
 	}
 	for {
 		c.send(m)
 		select {
-		case res := <-box:
+		case res := <-inbox:
 			if res.Code != codes.Empty {
 				return res, true
 			}
-		case <-time.After(resendAfter):
+		case <-time.After(retransmitTimeout):
 		case <-ctx.Done():
 			return message.Message{}, false
 		}
@@ -252,14 +252,14 @@
 }
 
 func (r Request) options(binding []byte) message.Options {
-	opts := make(message.Options, 0, optionLimit)
+	opts := make(message.Options, 0, maxOptions)
 	for _, part := range strings.Split(strings.Trim(r.Path, "/"), "/") {
 		opts = opts.Add(message.Option{ID: message.URIPath, Value: []byte(part)})
 	}
 	if r.Query != "" {
 		opts = opts.Add(message.Option{ID: message.URIQuery, Value: []byte(r.Query)})
 	}
-	if r.Transfer {
+	if r.Blockwise {
 		opts = opts.Add(message.Option{ID: message.Block1, Value: blockValue(r.Block)})
 	}
 	if len(binding) > 0 {
--- a/internal/stand/caller/stream.go
+++ b/internal/stand/caller/stream.go
@@ -12,68 +12,68 @@
 // StreamConfig is what a stream is opened with.
 type StreamConfig struct {
 	Path string
-	// Refresh is how often the stream is refreshed.
-	Refresh time.Duration
-	// Silence is how long a stream may bring nothing before it counts as broken.
-	Silence time.Duration
+	// RefreshInterval is how often the stream is refreshed.
+	RefreshInterval time.Duration
+	// StallTimeout is how long a stream may bring nothing before it counts as broken.
+	StallTimeout time.Duration
 }
 
 // StreamReport is what happened to one stream.
 type StreamReport struct {
-	// Notices counts notifications in sequence.
-	Notices int
+	// Notifications counts notifications in sequence.
+	Notifications int
 	// Gaps counts breaks of the sequence, Moves other upstreams than before, Silences too long times without word.
-	Gaps, Moves, Silences int
+	Gaps, UpstreamChanges, Stalls int
 	// Refusals counts registrations that were refused.
 	Refusals int
 	// Opened is set when the stream was ever open.
 	Opened bool
-	// Upstream is where it is open.
-	Upstream string
+	// StreamID is where it is open.
+	StreamID string
 }
 
-// Broken returns how often the flow broke.
-func (r StreamReport) Broken() int {
-	return r.Gaps + r.Moves + r.Silences
+// Breaks returns how often the flow broke.
+func (r StreamReport) Breaks() int {
+	return r.Gaps + r.UpstreamChanges + r.Stalls
 }
 
 // stream is the state of one open stream.
 type stream struct {
-	c      *Caller
-	cfg    StreamConfig
-	token  message.Token
-	box    chan message.Message
-	bound  []byte
-	id     string
-	seq    int
-	heard  time.Time
-	answer time.Time
-	// asked is the message ID of the registration that waits for its answer; an answer to an earlier one is a double.
-	asked  int32
-	report StreamReport
+	c            *Caller
+	cfg          StreamConfig
+	token        message.Token
+	inbox        chan message.Message
+	binding      []byte
+	id           string
+	seq          int
+	lastMessage  time.Time
+	lastResponse time.Time
+	// registrationID is the message ID of the registration that waits for its answer; an answer to an earlier one is a double.
+	registrationID int32
+	report         StreamReport
 }
 
-// Stream keeps a stream open until ctx ends and reports what happened; watch, if given, sees each change.
-func (c *Caller) Stream(ctx context.Context, cfg StreamConfig, watch func(StreamReport)) StreamReport {
-	s := &stream{c: c, cfg: cfg, heard: time.Now()}
-	s.token, s.box = c.open()
-	defer c.close(s.token)
-	refresh := time.NewTicker(cfg.Refresh)
+// RunStream keeps a stream open until ctx ends and reports what happened; watch, if given, sees each change.
+func (c *Caller) RunStream(ctx context.Context, cfg StreamConfig, watch func(StreamReport)) StreamReport {
+	s := &stream{c: c, cfg: cfg, lastMessage: time.Now()}
+	s.token, s.inbox = c.openInbox()
+	defer c.closeInbox(s.token)
+	refresh := time.NewTicker(cfg.RefreshInterval)
 	defer refresh.Stop()
-	resend := time.NewTicker(resendAfter)
+	resend := time.NewTicker(retransmitTimeout)
 	defer resend.Stop()
 	sent := s.register()
 	for {
 		select {
-		case m := <-s.box:
-			s.take(m)
+		case m := <-s.inbox:
+			s.handle(m)
 		case <-refresh.C:
 			sent = s.register()
 		case <-resend.C:
-			if s.answer.Before(sent) && time.Since(sent) >= resendAfter {
+			if s.lastResponse.Before(sent) && time.Since(sent) >= retransmitTimeout {
 				s.register()
 			}
-			s.checkSilence()
+			s.checkStall()
 		case <-ctx.Done():
 			return s.report
 		}
@@ -85,25 +85,25 @@
 
 // register opens or refreshes the stream.
 func (s *stream) register() time.Time {
-	opts := Request{Path: s.cfg.Path}.options(s.bound)
+	opts := Request{Path: s.cfg.Path}.options(s.binding)
 	opts = opts.Add(message.Option{ID: message.Observe, Value: []byte{}})
-	s.asked = s.c.nextID()
+	s.registrationID = s.c.nextMessageID()
 	s.c.send(message.Message{
 		Token:     s.token,
 		Code:      codes.GET,
 		Options:   opts,
-		MessageID: s.asked,
+		MessageID: s.registrationID,
 		Type:      message.Confirmable,
 	})
 	return time.Now()
 }
 
-func (s *stream) take(m message.Message) {
-	if m.Type == message.Acknowledgement && m.MessageID != s.asked {
+func (s *stream) handle(m message.Message) {
+	if m.Type == message.Acknowledgement && m.MessageID != s.registrationID {
 		return
 	}
 	if echo, err := m.Options.GetBytes(message.Echo); err == nil {
-		s.bound = append([]byte{}, echo...)
+		s.binding = append([]byte{}, echo...)
 	}
 	switch m.Code {
 	case codes.Unauthorized:
@@ -111,47 +111,47 @@
 	case codes.ServiceUnavailable:
 		s.report.Refusals++
 		if s.report.Opened {
-			s.answer = time.Now()
+			s.lastResponse = time.Now()
 		}
 	case codes.Content:
-		s.notice(m)
+		s.handleContent(m)
 	}
 }
 
-// notice checks one notification or the answer to a registration.
-func (s *stream) notice(m message.Message) {
+// handleContent checks one notification or the answer to a registration.
+func (s *stream) handleContent(m message.Message) {
 	var id string
 	var seq int
 	if _, err := fmt.Sscanf(string(m.Payload), "%s %d", &id, &seq); err != nil {
 		return
 	}
-	s.heard = time.Now()
+	s.lastMessage = time.Now()
 	registered := m.Type == message.Acknowledgement
 	if registered {
-		s.answer = s.heard
+		s.lastResponse = s.lastMessage
 	}
 	switch {
 	case id != s.id && s.id != "" && !registered:
 		return
 	case id != s.id:
 		if s.id != "" {
-			s.report.Moves++
+			s.report.UpstreamChanges++
 		}
 		s.id, s.seq = id, seq
-		s.report.Opened, s.report.Upstream = true, id
+		s.report.Opened, s.report.StreamID = true, id
 	case registered || seq <= s.seq:
 	case seq == s.seq+1:
 		s.seq = seq
-		s.report.Notices++
+		s.report.Notifications++
 	default:
 		s.report.Gaps++
 		s.seq = seq
 	}
 }
 
-func (s *stream) checkSilence() {
-	if time.Since(s.heard) > s.cfg.Silence && s.report.Opened {
-		s.report.Silences++
-		s.heard = time.Now()
+func (s *stream) checkStall() {
+	if time.Since(s.lastMessage) > s.cfg.StallTimeout && s.report.Opened {
+		s.report.Stalls++
+		s.lastMessage = time.Now()
 	}
 }
--- a/internal/stand/crowd/crowd.go
+++ b/internal/stand/crowd/crowd.go
@@ -12,11 +12,11 @@
 	"hawthorncourse/platform/stand"
 )
 
-// triesLimit is how often a caller tries one request, as the platform's callers do.
-const triesLimit = 3
+// maxAttempts is how often a caller tries one request, as the platform's callers do.
+const maxAttempts = 3
 
-// Kind is one kind of request.
-type Kind struct {
+// Workload is one kind of request.
+type Workload struct {
 	// Name begins the id of each request.
 	Name string
 	// Address is where flows are opened to, and Service is who must answer.
@@ -30,20 +30,20 @@
 type Config struct {
 	// Callers are used in turn.
 	Callers []*stand.Caller
-	// Kinds holds every kind of request.
-	Kinds []Kind
-	// Loops is the number of loops for each kind.
-	Loops int
+	// Workloads holds every kind of request.
+	Workloads []Workload
+	// Concurrency is the number of loops for each kind.
+	Concurrency int
 	// Deadline is when a caller gives a request up.
 	Deadline time.Duration
-	// Think is the pause between two requests of one loop.
-	Think time.Duration
-	// Reset is told of every reset of an open flow; it may be nil.
-	Reset func(*stand.ResetError)
+	// ThinkTime is the pause between two requests of one loop.
+	ThinkTime time.Duration
+	// OnReset is told of every reset of an open flow; it may be nil.
+	OnReset func(*stand.ResetError)
 }
 
-// Crowd is a running load.
-type Crowd struct {
+// Generator is a running load.
+type Generator struct {
 	cfg    Config
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -52,144 +52,146 @@
 	mu sync.Mutex
 	// All below is guarded by mu.
 	counts Counts
-	// since is when the counts began: what was asked before does not count.
-	since  time.Time
-	faults []string
+	// countingSince is when the counts began: what was asked before does not count.
+	countingSince  time.Time
+	wrongResponses []string
 }
 
 // Counts is what callers saw of the requests that began after the last Forget.
 type Counts struct {
 	// Served and Failed count requests over all their tries.
 	Served, Failed int
-	// Broken counts open flows that ended before their request was answered.
-	Broken int
-	// Slowest is the longest time that a served request took.
-	Slowest time.Duration
+	// BrokenFlows counts open flows that ended before their request was answered.
+	BrokenFlows int
+	// MaxLatency is the longest time that a served request took.
+	MaxLatency time.Duration
 }
 
 // Start lets callers ask until Stop.
-func Start(ctx context.Context, cfg Config) *Crowd {
-	c := &Crowd{cfg: cfg}
-	c.ctx, c.cancel = context.WithCancel(ctx)
-	for n := range cfg.Loops {
-		for _, k := range cfg.Kinds {
-			caller := cfg.Callers[n%len(cfg.Callers)]
-			if k.Idempotent {
-				c.wg.Go(func() { c.stream(caller, k, n) })
+func Start(ctx context.Context, cfg Config) *Generator {
+	g := &Generator{cfg: cfg}
+	g.ctx, g.cancel = context.WithCancel(ctx)
+	for worker := range cfg.Concurrency {
+		for _, w := range cfg.Workloads {
+			caller := cfg.Callers[worker%len(cfg.Callers)]
+			if w.Idempotent {
+				g.wg.Go(func() { g.sendOnOneFlow(caller, w, worker) })
 			} else {
-				c.wg.Go(func() { c.fresh(caller, k, n) })
+				g.wg.Go(func() { g.sendOnNewFlows(caller, w, worker) })
 			}
 		}
 	}
-	return c
+	return g
 }
 
 // Stop ends the load and waits for it.
-func (c *Crowd) Stop() {
-	c.cancel()
-	c.wg.Wait()
+func (g *Generator) Stop() {
+	g.cancel()
+	g.wg.Wait()
 }
 
-// Forget begins to count anew: a request that was under way by then may have been lost by what happened before.
-func (c *Crowd) Forget() {
-	c.count(func() { c.counts, c.since = Counts{}, time.Now() })
+// ResetCounts begins to count anew: a request that was under way by then may have been lost by what happened before.
+func (g *Generator) ResetCounts() {
+	g.withLock(func() { g.counts, g.countingSince = Counts{}, time.Now() })
 }
 
 // Counts returns what was counted since the last Forget.
-func (c *Crowd) Counts() Counts {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.counts
+func (g *Generator) Counts() Counts {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.counts
 }
 
-// Faults returns every answer that was not the caller's own.
-func (c *Crowd) Faults() []string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return append([]string(nil), c.faults...)
+// WrongResponses returns every answer that was not the caller's own.
+func (g *Generator) WrongResponses() []string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return append([]string(nil), g.wrongResponses...)
 }
 
-func (c *Crowd) count(do func()) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	do()
+func (g *Generator) withLock(f func()) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	f()
 }
 
-// stream asks again and again on one flow and opens another when it ends.
-func (c *Crowd) stream(caller *stand.Caller, k Kind, n int) {
+// sendOnOneFlow asks again and again on one flow and opens another when it ends.
+func (g *Generator) sendOnOneFlow(caller *stand.Caller, w Workload, worker int) {
 	var f *stand.Flow
-	for i := 0; c.ctx.Err() == nil; i++ {
-		ctx, cancel := context.WithTimeout(c.ctx, c.cfg.Deadline)
-		began := time.Now()
+	for i := 0; g.ctx.Err() == nil; i++ {
+		ctx, cancel := context.WithTimeout(g.ctx, g.cfg.Deadline)
+		started := time.Now()
 		err := errors.New("not tried")
-		for try := 0; try < triesLimit && err != nil && ctx.Err() == nil; try++ {
+		for attempt := 0; attempt < maxAttempts && err != nil && ctx.Err() == nil; attempt++ {
 			if f == nil {
-				if f, err = caller.Open(ctx, k.Address); err != nil {
+				if f, err = caller.Open(ctx, w.Address); err != nil {
 					continue
 				}
 			}
-			if err = c.ask(ctx, f, k, fmt.Sprintf("%s-%d-%d-%d", k.Name, n, i, try)); err != nil {
+			if err = g.request(ctx, f, w, fmt.Sprintf("%s-%d-%d-%d", w.Name, worker, i, attempt)); err != nil {
 				f = nil
-				c.tally(began, func(counts *Counts) { counts.Broken++ })
+				g.update(started, func(counts *Counts) { counts.BrokenFlows++ })
 			}
 		}
 		cancel()
-		c.outcome(err, began)
-		time.Sleep(c.cfg.Think)
+		g.recordResult(err, started)
+		time.Sleep(g.cfg.ThinkTime)
 	}
 }
 
-// fresh opens a flow for each request.
-func (c *Crowd) fresh(caller *stand.Caller, k Kind, n int) {
-	for i := 0; c.ctx.Err() == nil; i++ {
-		ctx, cancel := context.WithTimeout(c.ctx, c.cfg.Deadline)
-		began := time.Now()
+// sendOnNewFlows opens a flow for each request.
+func (g *Generator) sendOnNewFlows(caller *stand.Caller, w Workload, worker int) {
+	for i := 0; g.ctx.Err() == nil; i++ {
+		ctx, cancel := context.WithTimeout(g.ctx, g.cfg.Deadline)
+		started := time.Now()
 		var f *stand.Flow
 		err := stand.ErrNotOpened
-		for try := 0; try < triesLimit && err != nil && ctx.Err() == nil; try++ {
-			f, err = caller.Open(ctx, k.Address)
+		for attempt := 0; attempt < maxAttempts && err != nil && ctx.Err() == nil; attempt++ {
+			f, err = caller.Open(ctx, w.Address)
 		}
 		if err == nil {
-			err = c.ask(ctx, f, k, fmt.Sprintf("%s-%d-%d", k.Name, n, i))
+			err = g.request(ctx, f, w, fmt.Sprintf("%s-%d-%d", w.Name, worker, i))
 			f.Close()
 		}
 		cancel()
-		c.outcome(err, began)
-		time.Sleep(c.cfg.Think)
+		g.recordResult(err, started)
+		time.Sleep(g.cfg.ThinkTime)
 	}
 }
 
-func (c *Crowd) ask(ctx context.Context, f *stand.Flow, k Kind, id string) error {
-	answer, err := f.Request(ctx, id)
-	if err == nil && answer != k.Service+" "+id {
-		c.count(func() { c.faults = append(c.faults, fmt.Sprintf("asked %q of %q, got %q", id, k.Service, answer)) })
+func (g *Generator) request(ctx context.Context, f *stand.Flow, w Workload, id string) error {
+	response, err := f.Request(ctx, id)
+	if err == nil && response != w.Service+" "+id {
+		g.withLock(func() {
+			g.wrongResponses = append(g.wrongResponses, fmt.Sprintf("asked %q of %q, got %q", id, w.Service, response))
+		})
 	}
 	var reset *stand.ResetError
-	if errors.As(err, &reset) && c.cfg.Reset != nil {
-		c.cfg.Reset(reset)
+	if errors.As(err, &reset) && g.cfg.OnReset != nil {
+		g.cfg.OnReset(reset)
 	}
 	return err
 }
 
-func (c *Crowd) outcome(err error, began time.Time) {
-	if c.ctx.Err() != nil {
+func (g *Generator) recordResult(err error, started time.Time) {
+	if g.ctx.Err() != nil {
 		return
 	}
-	c.tally(began, func(counts *Counts) {
+	g.update(started, func(counts *Counts) {
 		if err != nil {
 			counts.Failed++
 			return
 		}
 		counts.Served++
-		counts.Slowest = max(counts.Slowest, time.Since(began))
+		counts.MaxLatency = max(counts.MaxLatency, time.Since(started))
 	})
 }
 
-// tally counts what a request met that began after the last Forget.
-func (c *Crowd) tally(began time.Time, add func(*Counts)) {
-	c.count(func() {
-		if began.After(c.since) {
-			add(&c.counts)
+// update counts what a request met that began after the last Forget.
+func (g *Generator) update(started time.Time, apply func(*Counts)) {
+	g.withLock(func() {
+		if started.After(g.countingSince) {
+			apply(&g.counts)
 		}
 	})
 }
--- a/internal/stand/spray/spray.go
+++ b/internal/stand/spray/spray.go
@@ -21,22 +21,22 @@
 
 // Config is what a Fabric is built from.
 type Config struct {
-	// Inside is the address to which instances send packets for callers.
-	Inside netip.AddrPort
+	// EgressAddress is the address to which instances send packets for callers.
+	EgressAddress netip.AddrPort
 	// Services holds the service addresses that callers send to.
 	Services []netip.AddrPort
 	// Seed feeds the choice of instances.
 	Seed uint64
-	// Duplicate is the share of callers' packets that are sent twice, from 0 to 1.
-	Duplicate float64
+	// DuplicateRate is the share of callers' packets that are sent twice, from 0 to 1.
+	DuplicateRate float64
 }
 
 // Fabric moves packets between callers and instances.
 type Fabric struct {
-	cfg      Config
-	inside   *net.UDPConn
-	services map[netip.AddrPort]*net.UDPConn
-	targets  atomic.Pointer[[]netip.AddrPort]
+	cfg       Config
+	egress    *net.UDPConn
+	services  map[netip.AddrPort]*net.UDPConn
+	instances atomic.Pointer[[]netip.AddrPort]
 
 	mu sync.Mutex
 	// rng is guarded by mu.
@@ -47,7 +47,7 @@
 func New(cfg Config) (*Fabric, error) {
 	f := &Fabric{cfg: cfg, services: map[netip.AddrPort]*net.UDPConn{}, rng: rand.New(rand.NewPCG(cfg.Seed, 0))}
 	var err error
-	if f.inside, err = listen(cfg.Inside); err != nil {
+	if f.egress, err = listen(cfg.EgressAddress); err != nil {
 		return nil, err
 	}
 	for _, addr := range cfg.Services {
@@ -56,7 +56,7 @@
 			return nil, err
 		}
 	}
-	f.targets.Store(&[]netip.AddrPort{})
+	f.instances.Store(&[]netip.AddrPort{})
 	return f, nil
 }
 
@@ -71,15 +71,15 @@
 	return conn, nil
 }
 
-// Inside returns the address to which instances send packets for callers.
-func (f *Fabric) Inside() netip.AddrPort {
-	return f.inside.LocalAddr().(*net.UDPAddr).AddrPort()
+// EgressAddress returns the address to which instances send packets for callers.
+func (f *Fabric) EgressAddress() netip.AddrPort {
+	return f.egress.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// SetTargets replaces the instances that packets are sprayed over.
-func (f *Fabric) SetTargets(targets []netip.AddrPort) {
-	fresh := append([]netip.AddrPort{}, targets...)
-	f.targets.Store(&fresh)
+// SetInstances replaces the instances that packets are sprayed over.
+func (f *Fabric) SetInstances(instances []netip.AddrPort) {
+	list := append([]netip.AddrPort{}, instances...)
+	f.instances.Store(&list)
 }
 
 // Run moves packets until the context ends.
@@ -87,16 +87,16 @@
 	g, ctx := errgroup.WithContext(ctx)
 	stop := context.AfterFunc(ctx, f.Close)
 	defer stop()
-	g.Go(func() error { return f.outward(ctx) })
+	g.Go(func() error { return f.forwardEgress(ctx) })
 	for addr, conn := range f.services {
-		g.Go(func() error { return f.inward(ctx, addr, conn) })
+		g.Go(func() error { return f.forwardIngress(ctx, addr, conn) })
 	}
 	return g.Wait()
 }
 
 // Close closes every socket.
 func (f *Fabric) Close() {
-	_ = f.inside.Close()
+	_ = f.egress.Close()
 	for _, conn := range f.services {
 		if conn != nil {
 			_ = conn.Close()
@@ -104,8 +104,8 @@
 	}
 }
 
-// inward sprays callers' packets over the instances.
-func (f *Fabric) inward(ctx context.Context, service netip.AddrPort, conn *net.UDPConn) error {
+// forwardIngress sprays callers' packets over the instances.
+func (f *Fabric) forwardIngress(ctx context.Context, service netip.AddrPort, conn *net.UDPConn) error {
 	buf := make([]byte, maxDatagram)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
@@ -120,38 +120,38 @@
 		if err != nil {
 			continue
 		}
-		for range f.copies() {
-			if target := f.pick(); target.IsValid() {
-				_, _ = f.inside.WriteToUDPAddrPort(raw, target)
+		for range f.copyCount() {
+			if instance := f.pickInstance(); instance.IsValid() {
+				_, _ = f.egress.WriteToUDPAddrPort(raw, instance)
 			}
 		}
 	}
 }
 
-func (f *Fabric) copies() int {
+func (f *Fabric) copyCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.cfg.Duplicate > 0 && f.rng.Float64() < f.cfg.Duplicate {
+	if f.cfg.DuplicateRate > 0 && f.rng.Float64() < f.cfg.DuplicateRate {
 		return 2
 	}
 	return 1
 }
 
-func (f *Fabric) pick() netip.AddrPort {
-	targets := *f.targets.Load()
-	if len(targets) == 0 {
+func (f *Fabric) pickInstance() netip.AddrPort {
+	instances := *f.instances.Load()
+	if len(instances) == 0 {
 		return netip.AddrPort{}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return targets[f.rng.IntN(len(targets))]
+	return instances[f.rng.IntN(len(instances))]
 }
 
-// outward sends the instances' packets to callers from the service address.
-func (f *Fabric) outward(ctx context.Context) error {
+// forwardEgress sends the instances' packets to callers from the service address.
+func (f *Fabric) forwardEgress(ctx context.Context) error {
 	buf := make([]byte, maxDatagram)
 	for {
-		n, _, err := f.inside.ReadFromUDPAddrPort(buf)
+		n, _, err := f.egress.ReadFromUDPAddrPort(buf)
 		if ctx.Err() != nil {
 			return nil
 		}
--- a/internal/stand/stage/process.go
+++ b/internal/stand/stage/process.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// startLimit is how long an instance may take to be ready on a busy machine.
-	startLimit = 15 * time.Second
+	// startTimeout is how long an instance may take to be ready on a busy machine.
+	startTimeout = 15 * time.Second
 	// metricsPort is that of deploy/system.toml.
 	metricsPort = 9464
 )
@@ -26,25 +26,25 @@
 // Process is one instance; its process may be ended and started again.
 type Process struct {
 	Settings stand.Settings
-	// Door is the instance's way to the store.
-	Door *stand.FaultProxy
-	// Number is the place in the list of processes.
-	Number int
+	// StoreProxy is the instance's way to the store.
+	StoreProxy *stand.FaultProxy
+	// Index is the place in the list of processes.
+	Index int
 
-	path, log, binary string
+	settingsPath, logPath, binary string
 	// ready is set while routers send to it.
 	ready atomic.Bool
 
 	mu sync.Mutex
 	// cmd and ended are those of the present start; they are guarded by mu.
-	cmd   *exec.Cmd
-	ended chan struct{}
+	cmd    *exec.Cmd
+	exited chan struct{}
 	// started is when the present start began; it is guarded by mu.
 	started time.Time
-	// expected is set while somebody wants the process to end; it is guarded by mu.
-	expected bool
-	// faults holds the ends that nobody asked for; it is guarded by mu.
-	faults []error
+	// stopRequested is set while somebody wants the process to end; it is guarded by mu.
+	stopRequested bool
+	// unexpectedExits holds the ends that nobody asked for; it is guarded by mu.
+	unexpectedExits []error
 }
 
 // Start starts the instance's process.
@@ -57,42 +57,42 @@
 	if err = p.WriteSettings(); err != nil {
 		return err
 	}
-	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	cmd := exec.Command(p.binary, "relay", "-metrics", strconv.Itoa(metricsPort))
-	cmd.Env = append(os.Environ(), platform.SettingsVariable+"="+p.path)
-	cmd.Stdout, cmd.Stderr = out, out
+	cmd.Env = append(os.Environ(), platform.SettingsVariable+"="+p.settingsPath)
+	cmd.Stdout, cmd.Stderr = logFile, logFile
 	if err = cmd.Start(); err != nil {
-		_ = out.Close()
+		_ = logFile.Close()
 		return err
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.ended, p.expected, p.started = cmd, ended, false, time.Now()
+	p.cmd, p.exited, p.stopRequested, p.started = cmd, exited, false, time.Now()
 	p.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
-		_ = out.Close()
+		_ = logFile.Close()
 		p.mu.Lock()
-		if !p.expected {
-			p.faults = append(p.faults, eris.Errorf("%s ended by itself: %v", p.Settings.Name, err))
+		if !p.stopRequested {
+			p.unexpectedExits = append(p.unexpectedExits, eris.Errorf("%s ended by itself: %v", p.Settings.Name, err))
 		}
 		p.mu.Unlock()
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
 
-// Metrics returns where the instance serves its metrics and its report.
-func (p *Process) Metrics() string {
+// MetricsAddress returns where the instance serves its metrics and its report.
+func (p *Process) MetricsAddress() string {
 	return netip.AddrPortFrom(p.Settings.Packets.Addr(), metricsPort).String()
 }
 
 // WriteSettings writes the settings file.
 func (p *Process) WriteSettings() error {
-	return os.WriteFile(p.path, p.Settings.TOML(), 0o600)
+	return os.WriteFile(p.settingsPath, p.Settings.TOML(), 0o600)
 }
 
 // Signal sends a signal that does not end the process.
@@ -104,49 +104,49 @@
 
 // Kill ends the process at once.
 func (p *Process) Kill() {
-	p.expectEnd()
+	p.setStopRequested()
 	p.Signal(syscall.SIGKILL)
-	<-p.Ended()
+	<-p.Exited()
 	p.ready.Store(false)
 }
 
 // Stop begins the planned stop and returns its exit code once the process has ended; an error tells that it took too long.
-func (p *Process) Stop(limit time.Duration) (code int, err error) {
-	p.expectEnd()
+func (p *Process) Stop(timeout time.Duration) (code int, err error) {
+	p.setStopRequested()
 	p.Signal(syscall.SIGTERM)
 	select {
-	case <-p.Ended():
+	case <-p.Exited():
 		p.ready.Store(false)
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return p.cmd.ProcessState.ExitCode(), nil
-	case <-time.After(limit):
-		return 0, eris.Errorf("%s has not ended after %s", p.Settings.Name, limit)
+	case <-time.After(timeout):
+		return 0, eris.Errorf("%s has not ended after %s", p.Settings.Name, timeout)
 	}
 }
 
-func (p *Process) expectEnd() {
+func (p *Process) setStopRequested() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.expected = true
+	p.stopRequested = true
 }
 
-// Ended is closed when the present start has ended.
-func (p *Process) Ended() <-chan struct{} {
+// Exited is closed when the present start has ended.
+func (p *Process) Exited() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ended
+	return p.exited
 }
 
-// Runs reports whether the process runs and nobody has asked it to end.
-func (p *Process) Runs() bool {
+// Running reports whether the process runs and nobody has asked it to end.
+func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.expected
+	return !p.stopRequested
 }
 
-// Age returns how long ago the present start began.
-func (p *Process) Age() time.Duration {
+// Uptime returns how long ago the present start began.
+func (p *Process) Uptime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return time.Since(p.started)
@@ -164,16 +164,16 @@
 	return p.ready.Load()
 }
 
-// Faults returns the ends that nobody asked for.
-func (p *Process) Faults() []error {
+// UnexpectedExits returns the ends that nobody asked for.
+func (p *Process) UnexpectedExits() []error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]error(nil), p.faults...)
+	return append([]error(nil), p.unexpectedExits...)
 }
 
 // Log returns what every start of the instance wrote.
 func (p *Process) Log() string {
-	text, err := os.ReadFile(p.log)
+	text, err := os.ReadFile(p.logPath)
 	if err != nil {
 		return err.Error()
 	}
--- a/internal/stand/stage/router.go
+++ b/internal/stand/stage/router.go
@@ -13,91 +13,91 @@
 )
 
 const (
-	// checkGap is the routers' pause between two readiness checks of one instance.
-	checkGap = 500 * time.Millisecond
-	// missLimit is how many checks in a row take an instance out of rotation.
-	missLimit = 2
-	waitPoll  = 10 * time.Millisecond
+	// readinessInterval is the routers' pause between two readiness checks of one instance.
+	readinessInterval = 500 * time.Millisecond
+	// failureThreshold is how many checks in a row take an instance out of rotation.
+	failureThreshold = 2
+	pollInterval     = 10 * time.Millisecond
 )
 
-// checkReady plays the routers' readiness checks.
-func (s *Stage) checkReady() {
-	client := &http.Client{Timeout: checkGap}
-	misses := map[*Process]int{}
-	for s.ctx.Err() == nil {
-		began := time.Now()
-		for _, p := range s.processes() {
+// checkReadiness plays the routers' readiness checks.
+func (e *Environment) checkReadiness() {
+	client := &http.Client{Timeout: readinessInterval}
+	failures := map[*Process]int{}
+	for e.ctx.Err() == nil {
+		started := time.Now()
+		for _, p := range e.processList() {
 			res, err := client.Get("http://" + p.Settings.Ready.String() + platform.ReadyPath)
 			if err == nil {
 				_ = res.Body.Close()
 			}
 			if err == nil && res.StatusCode == http.StatusOK {
-				misses[p] = 0
+				failures[p] = 0
 				p.ready.Store(true)
-			} else if misses[p]++; misses[p] >= missLimit {
+			} else if failures[p]++; failures[p] >= failureThreshold {
 				p.ready.Store(false)
 			}
 		}
-		time.Sleep(time.Until(began.Add(checkGap)))
+		time.Sleep(time.Until(started.Add(readinessInterval)))
 	}
 }
 
-func (s *Stage) processes() []*Process {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return append([]*Process(nil), s.Processes...)
+func (e *Environment) processList() []*Process {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return append([]*Process(nil), e.Processes...)
 }
 
 // router returns the way of a failure domain's routers: a hash over those that are ready there, or in all others.
-func (s *Stage) router(domain int) func(model.FlowKey) netip.AddrPort {
+func (e *Environment) router(domain int) func(model.FlowKey) netip.AddrPort {
 	return func(key model.FlowKey) netip.AddrPort {
-		var near, all []netip.AddrPort
-		for _, p := range s.processes() {
+		var local, all []netip.AddrPort
+		for _, p := range e.processList() {
 			if !p.ready.Load() {
 				continue
 			}
 			all = append(all, p.Settings.Packets)
-			if p.Settings.Domain == s.cfg.Domains[domain] {
-				near = append(near, p.Settings.Packets)
+			if p.Settings.Domain == e.cfg.Domains[domain] {
+				local = append(local, p.Settings.Packets)
 			}
 		}
-		if len(near) == 0 {
-			near = all
+		if len(local) == 0 {
+			local = all
 		}
-		if len(near) == 0 || s.loses() {
+		if len(local) == 0 || e.dropPacket() {
 			return netip.AddrPort{}
 		}
-		return near[key.Hash()%uint64(len(near))]
+		return local[key.Hash()%uint64(len(local))]
 	}
 }
 
-// SetLossy lets a share of callers' packets reach nobody.
-func (s *Stage) SetLossy(share float64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.lossy = share
+// SetPacketLoss lets a share of callers' packets reach nobody.
+func (e *Environment) SetPacketLoss(rate float64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.lossRate = rate
 }
 
-func (s *Stage) loses() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.lossy > 0 && rand.Float64() < s.lossy
+func (e *Environment) dropPacket() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.lossRate > 0 && rand.Float64() < e.lossRate
 }
 
 // AwaitReady waits until every instance that runs is ready.
-func (s *Stage) AwaitReady(limit time.Duration) error {
-	for end := time.Now().Add(limit); ; time.Sleep(waitPoll) {
-		missing := ""
-		for _, p := range s.processes() {
-			if p.Runs() && !p.ready.Load() {
-				missing = p.Settings.Name
+func (e *Environment) AwaitReady(timeout time.Duration) error {
+	for deadline := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
+		notReady := ""
+		for _, p := range e.processList() {
+			if p.Running() && !p.ready.Load() {
+				notReady = p.Settings.Name
 			}
 		}
-		if missing == "" {
+		if notReady == "" {
 			return nil
 		}
-		if time.Now().After(end) {
-			return eris.Errorf("%s is not ready within %s", missing, limit)
+		if time.Now().After(deadline) {
+			return eris.Errorf("%s is not ready within %s", notReady, timeout)
 		}
 	}
 }
--- a/internal/stand/stage/stage.go
+++ b/internal/stand/stage/stage.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	packetPort  = 7172
-	readyPort   = 7167
-	controlPort = 7166
-	upPort      = 7080
-	storePort   = 7400
+	packetPort   = 7172
+	readyPort    = 7167
+	controlPort  = 7166
+	upstreamPort = 7080
+	storePort    = 7400
 )
 
 // The groups of loopback addresses, by the third byte.
@@ -31,8 +31,8 @@
 	groupUpstreams
 	groupInstances
 	groupCallers
-	// groupTunnels is the first of those that stand in the place of control addresses, one for each calling instance.
-	groupTunnels
+	// groupProxies is the first of those that stand in the place of control addresses, one for each calling instance.
+	groupProxies
 )
 
 // Config is what a Stage is built from.
@@ -51,21 +51,21 @@
 	Services []string
 	// Routes holds the first configuration.
 	Routes []stand.Route
-	// Work is how long one request takes.
-	Work time.Duration
+	// RequestTime is how long one request takes.
+	RequestTime time.Duration
 	// ColdFor is how long an upstream is cold after its start.
 	ColdFor time.Duration
-	// ChangeBy is the time in which every change must be in force.
-	ChangeBy time.Duration
-	// Tunnels puts a tunnel between any two instances.
-	Tunnels tunnel.Links
+	// MaxStaleness is the time in which every change must be in force.
+	MaxStaleness time.Duration
+	// Links puts a tunnel between any two instances.
+	Links tunnel.Links
 }
 
-// Stage is a platform of stand-ins with instances.
-type Stage struct {
-	cfg Config
-	ctx context.Context
-	end context.CancelFunc
+// Environment is a platform of stand-ins with instances.
+type Environment struct {
+	cfg    Config
+	ctx    context.Context
+	cancel context.CancelFunc
 
 	Store     *stand.Store
 	Processes []*Process
@@ -75,129 +75,129 @@
 	mu sync.Mutex
 	// All below is guarded by mu.
 	upstreams []*stand.Upstream
-	tunnels   map[pair]*tunnel.Tunnel
+	proxies   map[link]*tunnel.Proxy
 	closers   []func()
-	// lossy is the share of callers' packets that never reach an instance.
-	lossy float64
+	// lossRate is the share of callers' packets that never reach an instance.
+	lossRate float64
 }
 
-// pair names two instances, by their numbers.
-type pair struct {
+// link names two instances, by their numbers.
+type link struct {
 	from, to int
 }
 
 // New starts a stage; the instances are ready when it returns.
-func New(ctx context.Context, cfg Config) (s *Stage, err error) {
+func New(ctx context.Context, cfg Config) (e *Environment, err error) {
 	defer func() {
 		if err != nil {
 			err = eris.Wrap(err, "start stage")
-			s.Close()
+			e.Close()
 		}
 	}()
-	s = &Stage{cfg: cfg, Store: stand.NewStore(), tunnels: map[pair]*tunnel.Tunnel{}}
-	s.ctx, s.end = context.WithCancel(ctx)
-	s.Store.Configure(1, cfg.Routes...)
+	e = &Environment{cfg: cfg, Store: stand.NewStore(), proxies: map[link]*tunnel.Proxy{}}
+	e.ctx, e.cancel = context.WithCancel(ctx)
+	e.Store.Configure(1, cfg.Routes...)
 	for n, service := range cfg.Services {
-		if _, err = s.AddUpstream(uint64(n+1), service, cfg.Domains[n%len(cfg.Domains)], s.upstreamAddress(n+1)); err != nil {
-			return s, err
+		if _, err = e.AddUpstream(uint64(n+1), service, cfg.Domains[n%len(cfg.Domains)], e.upstreamAddress(n+1)); err != nil {
+			return e, err
 		}
 	}
 	for n := range cfg.Instances {
-		if err = s.AddInstance(cfg.Domains[n%len(cfg.Domains)]); err != nil {
-			return s, err
+		if err = e.AddInstance(cfg.Domains[n%len(cfg.Domains)]); err != nil {
+			return e, err
 		}
 	}
 	for n := range cfg.Domains {
-		caller, err := stand.NewCaller(s.addr(groupCallers, n+1, packetPort), s.router(n))
+		caller, err := stand.NewCaller(e.addr(groupCallers, n+1, packetPort), e.router(n))
 		if err != nil {
-			return s, err
+			return e, err
 		}
-		s.Callers = append(s.Callers, caller)
+		e.Callers = append(e.Callers, caller)
 	}
-	go s.checkReady()
-	return s, s.AwaitReady(startLimit)
+	go e.checkReadiness()
+	return e, e.AwaitReady(startTimeout)
 }
 
 // Close ends every process and stand-in.
-func (s *Stage) Close() {
-	s.end()
-	for _, p := range s.Processes {
+func (e *Environment) Close() {
+	e.cancel()
+	for _, p := range e.Processes {
 		p.Kill()
 	}
-	for _, c := range s.Callers {
+	for _, c := range e.Callers {
 		c.Close()
 	}
-	for _, u := range s.Upstreams() {
+	for _, u := range e.Upstreams() {
 		u.Close()
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, t := range s.tunnels {
-		t.Close()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, proxy := range e.proxies {
+		proxy.Close()
 	}
-	for _, c := range s.closers {
+	for _, c := range e.closers {
 		c()
 	}
 }
 
 // Upstreams returns every upstream that ever was, those that have ended included.
-func (s *Stage) Upstreams() []*stand.Upstream {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return append([]*stand.Upstream(nil), s.upstreams...)
+func (e *Environment) Upstreams() []*stand.Upstream {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return append([]*stand.Upstream(nil), e.upstreams...)
 }
 
 // AddUpstream starts one more upstream, at an address of its own if none is given.
-func (s *Stage) AddUpstream(number uint64, service, domain string, at netip.AddrPort) (*stand.Upstream, error) {
-	if !at.IsValid() {
-		at = s.upstreamAddress(int(number))
+func (e *Environment) AddUpstream(number uint64, service, domain string, addr netip.AddrPort) (*stand.Upstream, error) {
+	if !addr.IsValid() {
+		addr = e.upstreamAddress(int(number))
 	}
 	u, err := stand.StartUpstream(stand.UpstreamConfig{
-		Number: number, Service: service, Domain: domain, Address: at, CallerPort: packetPort,
-		RequestTime: s.cfg.Work, ColdFor: s.cfg.ColdFor, Store: s.Store,
+		Number: number, Service: service, Domain: domain, Address: addr, CallerPort: packetPort,
+		RequestTime: e.cfg.RequestTime, ColdFor: e.cfg.ColdFor, Store: e.Store,
 	})
 	if err != nil {
 		return nil, err
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.upstreams = append(s.upstreams, u)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.upstreams = append(e.upstreams, u)
 	return u, nil
 }
 
-func (s *Stage) upstreamAddress(n int) netip.AddrPort {
-	return s.addr(groupUpstreams, n, upPort)
+func (e *Environment) upstreamAddress(n int) netip.AddrPort {
+	return e.addr(groupUpstreams, n, upstreamPort)
 }
 
-func (s *Stage) addr(group, host int, port uint16) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(s.cfg.Subnet), byte(group), byte(host)}), port)
+func (e *Environment) addr(group, host int, port uint16) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(e.cfg.Subnet), byte(group), byte(host)}), port)
 }
 
 // AddInstance starts one more instance in a failure domain.
-func (s *Stage) AddInstance(domain string) error {
-	n := len(s.Processes)
-	door, store, err := s.openDoor(n)
+func (e *Environment) AddInstance(domain string) error {
+	n := len(e.Processes)
+	proxy, addr, err := e.openStoreProxy(n)
 	if err != nil {
 		return err
 	}
 	p := &Process{
-		Door: door, Number: n,
-		path: filepath.Join(s.cfg.Dir, fmt.Sprintf("%d.toml", n)), log: filepath.Join(s.cfg.Dir, fmt.Sprintf("%d.log", n)), binary: s.cfg.Binary,
+		StoreProxy: proxy, Index: n,
+		settingsPath: filepath.Join(e.cfg.Dir, fmt.Sprintf("%d.toml", n)), logPath: filepath.Join(e.cfg.Dir, fmt.Sprintf("%d.log", n)), binary: e.cfg.Binary,
 		Settings: stand.Settings{
-			Name: instanceName(n), Domain: domain, Domains: s.cfg.Domains, Packets: s.addr(groupInstances, n+1, packetPort), Ready: s.addr(groupInstances, n+1, readyPort),
-			Control: s.addr(groupInstances, n+1, controlPort), Seeds: s.seeds(), Store: store, MaxStaleness: s.cfg.ChangeBy,
+			Name: instanceName(n), Domain: domain, Domains: e.cfg.Domains, Packets: e.addr(groupInstances, n+1, packetPort), Ready: e.addr(groupInstances, n+1, readyPort),
+			Control: e.addr(groupInstances, n+1, controlPort), Seeds: e.seeds(), Store: addr, MaxStaleness: e.cfg.MaxStaleness,
 		},
 	}
-	s.mu.Lock()
-	s.Processes = append(s.Processes, p)
-	s.mu.Unlock()
+	e.mu.Lock()
+	e.Processes = append(e.Processes, p)
+	e.mu.Unlock()
 	return p.Start()
 }
 
 // seeds returns the control addresses of the first instances, as the platform names them: they may be gone.
-func (s *Stage) seeds() (list []netip.AddrPort) {
-	for n := range min(2, s.cfg.Instances) {
-		list = append(list, s.addr(groupInstances, n+1, controlPort))
+func (e *Environment) seeds() (list []netip.AddrPort) {
+	for n := range min(2, e.cfg.Instances) {
+		list = append(list, e.addr(groupInstances, n+1, controlPort))
 	}
 	return list
 }
@@ -206,66 +206,66 @@
 	return fmt.Sprintf("instance-%d", n)
 }
 
-// openDoor opens the way of one instance to the store.
-func (s *Stage) openDoor(n int) (*stand.FaultProxy, netip.AddrPort, error) {
-	l, err := net.Listen("tcp", s.addr(groupStore, n+1, storePort).String())
+// openStoreProxy opens the way of one instance to the store.
+func (e *Environment) openStoreProxy(n int) (*stand.FaultProxy, netip.AddrPort, error) {
+	l, err := net.Listen("tcp", e.addr(groupStore, n+1, storePort).String())
 	if err != nil {
 		return nil, netip.AddrPort{}, err
 	}
-	s.mu.Lock()
-	s.closers = append(s.closers, func() { _ = l.Close() })
-	s.mu.Unlock()
-	door := s.Store.FaultProxy()
-	if s.cfg.Tunnels != nil {
-		door.Rewrite = func(body []byte) []byte { return s.redirect(n, body) }
+	e.mu.Lock()
+	e.closers = append(e.closers, func() { _ = l.Close() })
+	e.mu.Unlock()
+	proxy := e.Store.FaultProxy()
+	if e.cfg.Links != nil {
+		proxy.Rewrite = func(body []byte) []byte { return e.rewriteAddresses(n, body) }
 	}
-	go door.Serve(l)
-	return door, netip.MustParseAddrPort(l.Addr().String()), nil
+	go proxy.Serve(l)
+	return proxy, netip.MustParseAddrPort(l.Addr().String()), nil
 }
 
-// redirect names tunnels in the place of the control addresses of all other instances.
-func (s *Stage) redirect(from int, body []byte) []byte {
-	s.mu.Lock()
-	count := len(s.Processes)
-	s.mu.Unlock()
+// rewriteAddresses names tunnels in the place of the control addresses of all other instances.
+func (e *Environment) rewriteAddresses(from int, body []byte) []byte {
+	e.mu.Lock()
+	count := len(e.Processes)
+	e.mu.Unlock()
 	for to := range count {
-		real := s.addr(groupInstances, to+1, controlPort)
-		if to == from || !bytes.Contains(body, []byte(real.String())) {
+		target := e.addr(groupInstances, to+1, controlPort)
+		if to == from || !bytes.Contains(body, []byte(target.String())) {
 			continue
 		}
-		if at, err := s.tunnel(pair{from: from, to: to}); err == nil {
-			body = bytes.ReplaceAll(body, []byte(real.String()), []byte(at.String()))
+		if addr, err := e.proxyAddress(link{from: from, to: to}); err == nil {
+			body = bytes.ReplaceAll(body, []byte(target.String()), []byte(addr.String()))
 		}
 	}
 	return body
 }
 
-// tunnel returns the address of the tunnel between two instances, which is opened at its first use.
-func (s *Stage) tunnel(p pair) (netip.AddrPort, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	at := s.addr(groupTunnels+p.from, p.to+1, controlPort)
-	if s.tunnels[p] != nil {
-		return at, nil
+// proxyAddress returns the address of the tunnel between two instances, which is opened at its first use.
+func (e *Environment) proxyAddress(k link) (netip.AddrPort, error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	addr := e.addr(groupProxies+k.from, k.to+1, controlPort)
+	if e.proxies[k] != nil {
+		return addr, nil
 	}
-	l, err := net.Listen("tcp", at.String())
+	l, err := net.Listen("tcp", addr.String())
 	if err != nil {
-		return at, err
+		return addr, err
 	}
-	s.tunnels[p] = tunnel.New(tunnel.Config{
-		Listener: l, Real: s.addr(groupInstances, p.to+1, controlPort), Owner: instanceName(p.to),
-		Caller: func(netip.Addr) string { return instanceName(p.from) }, Links: s.cfg.Tunnels,
+	e.proxies[k] = tunnel.New(tunnel.Config{
+		Listener: l, Target: e.addr(groupInstances, k.to+1, controlPort), ServerName: instanceName(k.to),
+		ClientName: func(netip.Addr) string { return instanceName(k.from) }, Links: e.cfg.Links,
 	})
-	return at, nil
+	return addr, nil
 }
 
-// ResetLinks closes the connections of all calls that an instance makes to others.
-func (s *Stage) ResetLinks(from int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for p, t := range s.tunnels {
-		if p.from == from {
-			t.Reset("")
+// ResetConnections closes the connections of all calls that an instance makes to others.
+func (e *Environment) ResetConnections(from int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for k, proxy := range e.proxies {
+		if k.from == from {
+			proxy.Reset("")
 		}
 	}
 }
--- a/internal/stand/tunnel/tunnel.go
+++ b/internal/stand/tunnel/tunnel.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// poll is how often a cut link looks whether it is whole again.
-	poll    = 10 * time.Millisecond
-	bufSize = 64 << 10
+	// pollInterval is how often a cut link looks whether it is whole again.
+	pollInterval = 10 * time.Millisecond
+	bufferSize   = 64 << 10
 )
 
 // Links tells what happens to bytes on their way from one party to another.
@@ -22,13 +22,13 @@
 	Delay(from, to string) time.Duration
 }
 
-// Tunnel listens in the place of one party.
-type Tunnel struct {
-	listener net.Listener
-	real     netip.AddrPort
-	owner    string
-	caller   func(netip.Addr) string
-	links    Links
+// Proxy listens in the place of one party.
+type Proxy struct {
+	listener   net.Listener
+	target     netip.AddrPort
+	serverName string
+	clientName func(netip.Addr) string
+	links      Links
 
 	mu sync.Mutex
 	// conns holds the connections that are open, by their caller's name; it is guarded by mu.
@@ -39,35 +39,35 @@
 type Config struct {
 	// Listener takes connections in the place of the owner.
 	Listener net.Listener
-	// Real is where the owner listens.
-	Real netip.AddrPort
-	// Owner is the name of the party that is called.
-	Owner string
-	// Caller names the party that calls from an address.
-	Caller func(netip.Addr) string
+	// Target is where the owner listens.
+	Target netip.AddrPort
+	// ServerName is the name of the party that is called.
+	ServerName string
+	// ClientName names the party that calls from an address.
+	ClientName func(netip.Addr) string
 	// Links tells what happens on the way.
 	Links Links
 }
 
 // New returns a tunnel that passes connections until Close.
-func New(cfg Config) *Tunnel {
-	t := &Tunnel{listener: cfg.Listener, real: cfg.Real, owner: cfg.Owner, caller: cfg.Caller, links: cfg.Links, conns: map[net.Conn]string{}}
-	go t.serve()
-	return t
+func New(cfg Config) *Proxy {
+	p := &Proxy{listener: cfg.Listener, target: cfg.Target, serverName: cfg.ServerName, clientName: cfg.ClientName, links: cfg.Links, conns: map[net.Conn]string{}}
+	go p.serve()
+	return p
 }
 
 // Close ends the tunnel and its connections.
-func (t *Tunnel) Close() {
-	_ = t.listener.Close()
-	t.Reset("")
+func (p *Proxy) Close() {
+	_ = p.listener.Close()
+	p.Reset("")
 }
 
 // Reset closes the connections of a caller, or of all if it is empty, without a farewell.
-func (t *Tunnel) Reset(caller string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for conn, name := range t.conns {
-		if caller != "" && name != caller {
+func (p *Proxy) Reset(client string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for conn, name := range p.conns {
+		if client != "" && name != client {
 			continue
 		}
 		if tcp, ok := conn.(*net.TCPConn); ok {
@@ -77,66 +77,66 @@
 	}
 }
 
-func (t *Tunnel) serve() {
+func (p *Proxy) serve() {
 	for {
-		conn, err := t.listener.Accept()
+		conn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go t.join(conn)
+		go p.handle(conn)
 	}
 }
 
-// join copies between two ends while their link is whole; a cut link is silent, and its connections end once it is healed.
-func (t *Tunnel) join(conn net.Conn) {
+// handle copies between two ends while their link is whole; a cut link is silent, and its connections end once it is healed.
+func (p *Proxy) handle(conn net.Conn) {
 	defer conn.Close()
-	from := t.caller(conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap())
-	if t.awaitWhole(from, t.owner) || t.awaitWhole(t.owner, from) {
+	client := p.clientName(conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap())
+	if p.waitUnblocked(client, p.serverName) || p.waitUnblocked(p.serverName, client) {
 		return
 	}
-	far, err := net.Dial("tcp", t.real.String())
+	server, err := net.Dial("tcp", p.target.String())
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	t.keep(conn, from)
-	defer t.forget(conn)
+	defer server.Close()
+	p.track(conn, client)
+	defer p.untrack(conn)
 	var g sync.WaitGroup
-	g.Go(func() { t.copy(far, conn, from, t.owner) })
-	g.Go(func() { t.copy(conn, far, t.owner, from) })
+	g.Go(func() { p.forward(server, conn, client, p.serverName) })
+	g.Go(func() { p.forward(conn, server, p.serverName, client) })
 	g.Wait()
 }
 
-func (t *Tunnel) keep(conn net.Conn, from string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.conns[conn] = from
+func (p *Proxy) track(conn net.Conn, client string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.conns[conn] = client
 }
 
-func (t *Tunnel) forget(conn net.Conn) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	delete(t.conns, conn)
+func (p *Proxy) untrack(conn net.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.conns, conn)
 }
 
-// awaitWhole waits until the link is whole; it reports whether it was cut.
-func (t *Tunnel) awaitWhole(from, to string) (wasCut bool) {
-	for t.links.Blocked(from, to) {
-		wasCut = true
-		time.Sleep(poll)
+// waitUnblocked waits until the link is whole; it reports whether it was cut.
+func (p *Proxy) waitUnblocked(from, to string) (wasBlocked bool) {
+	for p.links.Blocked(from, to) {
+		wasBlocked = true
+		time.Sleep(pollInterval)
 	}
-	return wasCut
+	return wasBlocked
 }
 
-func (t *Tunnel) copy(dst, src net.Conn, from, to string) {
+func (p *Proxy) forward(dst, src net.Conn, from, to string) {
 	defer dst.Close()
-	buf := make([]byte, bufSize)
+	buf := make([]byte, bufferSize)
 	for {
 		n, err := src.Read(buf)
-		if err != nil || t.awaitWhole(from, to) {
+		if err != nil || p.waitUnblocked(from, to) {
 			return
 		}
-		time.Sleep(t.links.Delay(from, to))
+		time.Sleep(p.links.Delay(from, to))
 		if _, err := dst.Write(buf[:n]); err != nil {
 			return
 		}
--- a/internal/stand/upnode/stream.go
+++ b/internal/stand/upnode/stream.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	noticeTick  = 20 * time.Millisecond
-	retransmit  = time.Second
-	retryLimit  = 30
-	deregister  = 1
-	streamDigit = 1_000_000
+	notificationTick  = 20 * time.Millisecond
+	retransmitTimeout = time.Second
+	maxRetransmits    = 30
+	observeDeregister = 1
+	streamIDRange     = 1_000_000
 )
 
 type streamKey struct {
@@ -30,78 +30,78 @@
 // stream is one open stream; its notifications are confirmable and in order.
 type stream struct {
 	token message.Token
-	// speaker is the instance that spoke last for the caller.
-	speaker netip.AddrPort
-	id      string
-	seq     uint32
-	next    time.Time
-	// waiting is set while a notification is not acknowledged.
-	waiting   bool
-	messageID uint16
-	sent      time.Time
-	tries     int
+	// instance is the instance that spoke last for the caller.
+	instance netip.AddrPort
+	id       string
+	seq      uint32
+	nextAt   time.Time
+	// unacknowledged is set while a notification is not acknowledged.
+	unacknowledged bool
+	messageID      uint16
+	sentAt         time.Time
+	retransmits    int
 }
 
-// observe opens, refreshes or ends a stream.
-func (n *Node) observe(caller netip.AddrPort, m message.Message, from netip.AddrPort) {
+// handleObserve opens, refreshes or ends a stream.
+func (n *Node) handleObserve(caller netip.AddrPort, m message.Message, from netip.AddrPort) {
 	key := streamKey{caller: caller, token: model.NewToken(m.Token)}
-	flag, _ := m.Options.Observe()
+	observe, _ := m.Options.Observe()
 	n.mu.Lock()
 	boot := n.boot
 	s := n.streams[key]
-	if flag == deregister {
+	if observe == observeDeregister {
 		delete(n.streams, key)
 		n.mu.Unlock()
-		n.answer(caller, m, codes.Content, "closed", from, boot)
+		n.respond(caller, m, codes.Content, "closed", from, boot)
 		return
 	}
 	if s == nil {
-		if s = n.open(key, m); s == nil {
+		if s = n.openStream(key, m); s == nil {
 			n.mu.Unlock()
-			n.answer(caller, m, codes.ServiceUnavailable, "shed", from, boot)
+			n.respond(caller, m, codes.ServiceUnavailable, "shed", from, boot)
 			return
 		}
 	}
-	s.speaker = from
+	s.instance = from
 	text := fmt.Sprintf("%s %d", s.id, s.seq)
 	n.mu.Unlock()
-	n.answerStream(caller, m, text, from, boot)
+	n.respondObserve(caller, m, text, from, boot)
 }
 
-// open adds a stream, or returns nil when it is one too many; mu must be held.
-func (n *Node) open(key streamKey, m message.Message) *stream {
+// openStream adds a stream, or returns nil when it is one too many; mu must be held.
+func (n *Node) openStream(key streamKey, m message.Message) *stream {
 	limit := n.cfg.Connections
-	n.journal.LastNew = time.Now()
+	n.stats.LastArrival = time.Now()
 	if n.cold() {
-		n.coldOpened++
-		n.journal.ColdOpened = max(n.journal.ColdOpened, n.coldOpened)
+		n.openedWhileCold++
+		n.stats.MaxColdOpened = max(n.stats.MaxColdOpened, n.openedWhileCold)
 	}
 	if len(n.streams) >= limit {
-		n.journal.Shed++
+		n.stats.Shed++
 		return nil
 	}
-	n.journal.Opened++
+	n.stats.StreamsOpened++
 	s := &stream{
-		token: append(message.Token{}, m.Token...),
-		id:    fmt.Sprintf("%s/%d", n.cfg.Name, n.rng.IntN(streamDigit)),
-		next:  time.Now().Add(n.cfg.NoticeEvery),
+		token:  append(message.Token{}, m.Token...),
+		id:     fmt.Sprintf("%s/%d", n.cfg.Name, n.rng.IntN(streamIDRange)),
+		nextAt: time.Now().Add(n.cfg.NotificationInterval),
 	}
 	n.streams[key] = s
 	return s
 }
 
-func (n *Node) answerStream(caller netip.AddrPort, m message.Message, text string, to netip.AddrPort, boot uint64) {
-	kind := message.NonConfirmable
+func (n *Node) respondObserve(caller netip.AddrPort, m message.Message, text string, to netip.AddrPort, boot uint64) {
+	typ := message.NonConfirmable
 	if m.Type == message.Confirmable {
-		kind = message.Acknowledgement
+		typ = message.Acknowledgement
 	}
-	n.reply(caller, encode(message.Message{
+	n.send(caller, encode(message.Message{
 		Token:     m.Token,
 		Options:   observeOption(0),
 		Code:      codes.Content,
 		Payload:   []byte(text),
 		MessageID: m.MessageID,
-		Type:      kind,
+		Type:      typ,
 	}), to, boot)
 }
 
@@ -109,55 +109,55 @@
 	return message.Options{{ID: message.Observe, Value: []byte{byte(seq >> 16), byte(seq >> 8), byte(seq)}}}
 }
 
-// notify sends due notifications and repeats unacknowledged ones.
-func (n *Node) notify(ctx context.Context) {
-	tick := time.NewTicker(noticeTick)
+// runNotifications sends due notifications and repeats unacknowledged ones.
+func (n *Node) runNotifications(ctx context.Context) {
+	tick := time.NewTicker(notificationTick)
 	defer tick.Stop()
 	for {
 		select {
 		case now := <-tick.C:
-			n.notifyDue(now)
+			n.sendDueNotifications(now)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-type notice struct {
+type outgoing struct {
 	caller, to netip.AddrPort
 	raw        []byte
 }
 
-func (n *Node) notifyDue(now time.Time) {
+func (n *Node) sendDueNotifications(now time.Time) {
 	n.mu.Lock()
 	boot := n.boot
-	var due []notice
+	var due []outgoing
 	for key, s := range n.streams {
 		switch {
-		case s.waiting && now.Sub(s.sent) >= retransmit:
-			s.tries++
-			if s.tries > retryLimit {
+		case s.unacknowledged && now.Sub(s.sentAt) >= retransmitTimeout:
+			s.retransmits++
+			if s.retransmits > maxRetransmits {
 				delete(n.streams, key)
 				continue
 			}
-		case !s.waiting && now.After(s.next):
+		case !s.unacknowledged && now.After(s.nextAt):
 			s.seq++
 			n.messageID++
-			s.messageID, s.waiting, s.tries = n.messageID, true, 0
-			s.next = s.next.Add(n.cfg.NoticeEvery)
+			s.messageID, s.unacknowledged, s.retransmits = n.messageID, true, 0
+			s.nextAt = s.nextAt.Add(n.cfg.NotificationInterval)
 		default:
 			continue
 		}
-		s.sent = now
-		due = append(due, notice{caller: key.caller, to: s.speaker, raw: s.message()})
+		s.sentAt = now
+		due = append(due, outgoing{caller: key.caller, to: s.instance, raw: s.notification()})
 	}
 	n.mu.Unlock()
 	for _, d := range due {
-		n.reply(d.caller, d.raw, d.to, boot)
+		n.send(d.caller, d.raw, d.to, boot)
 	}
 }
 
-func (s *stream) message() []byte {
+func (s *stream) notification() []byte {
 	return encode(message.Message{
 		Token:     s.token,
 		Options:   observeOption(s.seq),
@@ -168,24 +168,24 @@
 	})
 }
 
-// acknowledged takes a caller's word that a notification arrived.
-func (n *Node) acknowledged(caller netip.AddrPort, messageID uint16) {
+// handleAck takes a caller's word that a notification arrived.
+func (n *Node) handleAck(caller netip.AddrPort, messageID uint16) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for key, s := range n.streams {
-		if key.caller == caller && s.waiting && s.messageID == messageID {
-			s.waiting = false
+		if key.caller == caller && s.unacknowledged && s.messageID == messageID {
+			s.unacknowledged = false
 			return
 		}
 	}
 }
 
-// rejected ends the stream whose notification a caller did not want.
-func (n *Node) rejected(caller netip.AddrPort, messageID uint16) {
+// handleReset ends the stream whose notification a caller did not want.
+func (n *Node) handleReset(caller netip.AddrPort, messageID uint16) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for key, s := range n.streams {
-		if key.caller == caller && s.waiting && s.messageID == messageID {
+		if key.caller == caller && s.unacknowledged && s.messageID == messageID {
 			delete(n.streams, key)
 			return
 		}
@@ -198,15 +198,15 @@
 	boot := n.boot
 	key := streamKey{caller: f.Source}
 	if n.streams[key] == nil {
-		n.journal.Opened++
-		n.journal.LastNew = time.Now()
+		n.stats.StreamsOpened++
+		n.stats.LastArrival = time.Now()
 		if n.cold() {
-			n.coldOpened++
-			n.journal.ColdOpened = max(n.journal.ColdOpened, n.coldOpened)
+			n.openedWhileCold++
+			n.stats.MaxColdOpened = max(n.stats.MaxColdOpened, n.openedWhileCold)
 		}
-		n.streams[key] = &stream{waiting: true, sent: time.Now().Add(time.Hour)}
+		n.streams[key] = &stream{unacknowledged: true, sentAt: time.Now().Add(time.Hour)}
 	}
 	n.mu.Unlock()
 	payload := binary.BigEndian.AppendUint64(nil, boot)
-	n.reply(f.Source, append(payload, f.Payload...), from, boot)
+	n.send(f.Source, append(payload, f.Payload...), from, boot)
 }
--- a/internal/stand/upnode/upnode.go
+++ b/internal/stand/upnode/upnode.go
@@ -30,65 +30,65 @@
 	Slots, Connections         int
 	ColdSlots, ColdConnections int
 	ColdFor                    time.Duration
-	// ServiceTime is the mean time of one request.
-	ServiceTime time.Duration
-	// NoticeEvery is the time between two notifications of a stream.
-	NoticeEvery time.Duration
+	// RequestTime is the mean time of one request.
+	RequestTime time.Duration
+	// NotificationInterval is the time between two notifications of a stream.
+	NotificationInterval time.Duration
 	// Opaque makes the node echo datagrams instead of speaking CoAP.
 	Opaque bool
 	// Seed feeds service times.
 	Seed uint64
 }
 
-// Journal is what a node has seen since it was made, over all its starts.
-type Journal struct {
-	// Runs counts the runs of each booking by its reference.
-	Runs map[string]int
-	// Foreign counts packets of other services.
-	Foreign int
+// Stats is what a node has seen since it was made, over all its starts.
+type Stats struct {
+	// Executions counts the runs of each booking by its reference.
+	Executions map[string]int
+	// Misrouted counts packets of other services.
+	Misrouted int
 	// Packets counts all packets.
 	Packets int
 	// LastPacket is when the last packet of a caller came.
 	LastPacket time.Time
 	// Requests counts requests that were run; Shed those that were not.
 	Requests, Shed int
-	// Opened counts streams opened, LastOpened is when the last one was.
-	Opened int
-	// LastNew is when the last new request or stream came.
-	LastNew time.Time
-	// ColdPeak and ColdOpened are the most requests at once and streams opened during any cold start, shed ones too.
-	ColdPeak, ColdOpened int
-	// Peak is the most requests at once, shed ones too.
-	Peak int
-	// Busy adds up the time that slots were in use.
-	Busy time.Duration
+	// StreamsOpened counts streams opened, LastOpened is when the last one was.
+	StreamsOpened int
+	// LastArrival is when the last new request or stream came.
+	LastArrival time.Time
+	// MaxColdRunning and ColdOpened are the most requests at once and streams opened during any cold start, shed ones too.
+	MaxColdRunning, MaxColdOpened int
+	// MaxRunning is the most requests at once, shed ones too.
+	MaxRunning int
+	// BusyTime adds up the time that slots were in use.
+	BusyTime time.Duration
 }
 
 // Node is one stand-in upstream.
 type Node struct {
-	cfg  Config
-	conn *net.UDPConn
-	http *http.Server
-	hl   net.Listener
+	cfg            Config
+	conn           *net.UDPConn
+	healthServer   *http.Server
+	healthListener net.Listener
 
 	mu sync.Mutex
 	// all below is guarded by mu.
-	rng        *rand.Rand
-	boot       uint64
-	dead       bool
-	coldUntil  time.Time
-	coldOpened int
-	draining   bool
-	shedding   bool
-	lie        *Report
-	running    int
-	streams    map[streamKey]*stream
-	journal    Journal
-	messageID  uint16
+	rng             *rand.Rand
+	boot            uint64
+	down            bool
+	coldUntil       time.Time
+	openedWhileCold int
+	draining        bool
+	shedding        bool
+	healthOverride  *HealthReport
+	running         int
+	streams         map[streamKey]*stream
+	stats           Stats
+	messageID       uint16
 }
 
-// Report is what the health endpoint says.
-type Report struct {
+// HealthReport is what the health endpoint says.
+type HealthReport struct {
 	State       string `json:"state"`
 	Connections int    `json:"connections"`
 }
@@ -100,21 +100,21 @@
 		return nil, err
 	}
 	_ = conn.SetReadBuffer(socketBuffer)
-	hl, err := net.Listen("tcp", netip.AddrPortFrom(cfg.Address.Addr(), 0).String())
+	healthListener, err := net.Listen("tcp", netip.AddrPortFrom(cfg.Address.Addr(), 0).String())
 	if err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
 	n := &Node{
-		cfg:     cfg,
-		conn:    conn,
-		hl:      hl,
-		rng:     rand.New(rand.NewPCG(cfg.Seed, 1)),
-		streams: map[streamKey]*stream{},
-		journal: Journal{Runs: map[string]int{}},
+		cfg:            cfg,
+		conn:           conn,
+		healthListener: healthListener,
+		rng:            rand.New(rand.NewPCG(cfg.Seed, 1)),
+		streams:        map[streamKey]*stream{},
+		stats:          Stats{Executions: map[string]int{}},
 	}
 	n.boot = n.rng.Uint64() | 1
-	n.http = &http.Server{Handler: http.HandlerFunc(n.health), ReadHeaderTimeout: time.Second}
+	n.healthServer = &http.Server{Handler: http.HandlerFunc(n.serveHealth), ReadHeaderTimeout: time.Second}
 	return n, nil
 }
 
@@ -123,20 +123,20 @@
 	return n.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// Health returns the address of the health and load endpoint.
-func (n *Node) Health() netip.AddrPort {
-	return n.hl.Addr().(*net.TCPAddr).AddrPort()
+// HealthAddress returns the address of the health and load endpoint.
+func (n *Node) HealthAddress() netip.AddrPort {
+	return n.healthListener.Addr().(*net.TCPAddr).AddrPort()
 }
 
 // Run serves until the context ends.
 func (n *Node) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
 		_ = n.conn.Close()
-		_ = n.http.Close()
+		_ = n.healthServer.Close()
 	})
 	defer stop()
-	go func() { _ = n.http.Serve(n.hl) }()
-	go n.notify(ctx)
+	go func() { _ = n.healthServer.Serve(n.healthListener) }()
+	go n.runNotifications(ctx)
 	buf := make([]byte, maxDatagram)
 	for {
 		size, from, err := n.conn.ReadFromUDPAddrPort(buf)
@@ -152,7 +152,7 @@
 		if err != nil {
 			continue
 		}
-		n.take(ctx, f, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
+		n.handlePacket(ctx, f, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()))
 	}
 }
 
@@ -160,19 +160,19 @@
 func (n *Node) Kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.dead = true
+	n.down = true
 	n.running = 0
 	clear(n.streams)
 }
 
-// Start makes a new start, in cold start.
-func (n *Node) Start() {
+// Restart makes a new start, in cold start.
+func (n *Node) Restart() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.dead = false
+	n.down = false
 	n.boot = n.rng.Uint64() | 1
 	n.coldUntil = time.Now().Add(n.cfg.ColdFor)
-	n.coldOpened = 0
+	n.openedWhileCold = 0
 	n.running = 0
 	clear(n.streams)
 }
@@ -191,23 +191,23 @@
 	n.shedding = on
 }
 
-// SetLie makes the health endpoint say r, whatever is true; nil ends it.
-func (n *Node) SetLie(r *Report) {
+// OverrideHealth makes the health endpoint say r, whatever is true; nil ends it.
+func (n *Node) OverrideHealth(r *HealthReport) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lie = r
+	n.healthOverride = r
 }
 
-// Journal returns a copy of what the node has seen.
-func (n *Node) Journal() Journal {
+// Stats returns a copy of what the node has seen.
+func (n *Node) Stats() Stats {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	j := n.journal
-	j.Runs = make(map[string]int, len(n.journal.Runs))
-	for ref, runs := range n.journal.Runs {
-		j.Runs[ref] = runs
+	out := n.stats
+	out.Executions = make(map[string]int, len(n.stats.Executions))
+	for ref, executions := range n.stats.Executions {
+		out.Executions[ref] = executions
 	}
-	return j
+	return out
 }
 
 // Streams returns the number of open streams.
@@ -222,29 +222,29 @@
 	return n.cfg.Name
 }
 
-// take handles one packet.
-func (n *Node) take(ctx context.Context, f frame.Frame, from netip.AddrPort) {
+// handlePacket handles one packet.
+func (n *Node) handlePacket(ctx context.Context, f frame.Frame, from netip.AddrPort) {
 	n.mu.Lock()
-	n.journal.Packets++
-	n.journal.LastPacket = time.Now()
-	foreign := f.Dest != n.cfg.Service
-	if foreign {
-		n.journal.Foreign++
+	n.stats.Packets++
+	n.stats.LastPacket = time.Now()
+	misrouted := f.Dest != n.cfg.Service
+	if misrouted {
+		n.stats.Misrouted++
 	}
-	dead := n.dead
+	down := n.down
 	n.mu.Unlock()
-	if dead || foreign {
+	if down || misrouted {
 		return
 	}
 	if n.cfg.Opaque {
 		n.echo(f, from)
 		return
 	}
-	n.takeCoAP(ctx, f, from)
+	n.handleCoAP(ctx, f, from)
 }
 
-// reply sends a payload back the way that f came.
-func (n *Node) reply(caller netip.AddrPort, payload []byte, to netip.AddrPort, boot uint64) {
+// send sends a payload back the way that f came.
+func (n *Node) send(caller netip.AddrPort, payload []byte, to netip.AddrPort, boot uint64) {
 	raw, err := frame.Format(frame.Frame{Source: n.cfg.Service, Dest: caller, Boot: bootID(boot), Payload: payload})
 	if err != nil {
 		return
