--- a/internal/stand/caller/caller.go
+++ b/internal/stand/caller/caller.go
@@ -1,4 +1,5 @@
-// Package caller is a stand-in for callers: requests that follow bindings, and streams that check their sequence.
+// Package caller provides fake callers: CoAP requests that carry the bindings issued by the load balancer, CoAP observe streams that check the
+// sequence of notifications, and opaque flows.
 package caller
 
 import (
@@ -18,23 +19,29 @@
 )
 
 const (
-	maxDatagram       = 64 << 10
-	maxOptions        = 64
-	tokenSize         = 8
+	maxDatagram = 64 << 10
+	maxOptions  = 64
+	tokenSize   = 8
+	// retransmitTimeout is the time after which a message without a response is sent again.
 	retransmitTimeout = 400 * time.Millisecond
-	// maxExchanges bounds how often one request follows a new binding.
+	// maxExchanges is the maximum number of exchanges for one request; each response with a new binding takes one.
 	maxExchanges = 6
-	inboxSize    = 32
+	// inboxSize is the number of messages that wait to be read for one token; further ones are dropped.
+	inboxSize = 32
 )
 
-// Outcome is how a request ended for its caller.
+// Outcome is the result of a request as the caller sees it.
 type Outcome uint8
 
 // The outcomes of requests.
 const (
+	// OutcomeDone is a response of the upstream.
 	OutcomeDone Outcome = iota + 1
+	// OutcomeNotRun is a response that guarantees that the request was not run: 5.03 (Service Unavailable).
 	OutcomeNotRun
+	// OutcomeUnknown is a response that leaves open whether the request was run: 5.04 (Gateway Timeout).
 	OutcomeUnknown
+	// OutcomeTimeout is the lack of a final response within Config.Timeout.
 	OutcomeTimeout
 )
 
@@ -50,54 +57,56 @@
 	return outcomeNames[o]
 }
 
-// Request is one request to make.
+// Request is one CoAP request.
 type Request struct {
 	Code    codes.Code
 	Path    string
 	Query   string
 	Payload string
-	// Blockwise is set for one block of a transfer in parts, and Block is the value of its Block1 option.
+	// Blockwise is set for one block of a block-wise transfer, and Block is the value of its Block1 option (RFC 7959).
 	Blockwise bool
 	Block     int
-	// Binding is the binding of an earlier try to repeat; empty for a new request.
+	// Binding is the binding of an earlier attempt that this request repeats; it is empty for a new request.
 	Binding []byte
 }
 
-// Result is how a request ended.
+// Result is the result of a request.
 type Result struct {
 	Outcome Outcome
-	// Payload is the payload of the last answer.
+	// Payload is the payload of the final response; it is empty after a timeout.
 	Payload string
+	// Latency is the time from the call of Do to its result.
 	Latency time.Duration
-	// Binding is the binding that the request was made with.
+	// Binding is the last binding that the load balancer issued for the request, or Request.Binding if it issued none.
 	Binding []byte
 }
 
-// Config is what a Caller is built from.
+// Config configures a Caller.
 type Config struct {
-	// Local is the IP address of the caller.
+	// Local is the caller's IP address.
 	Local netip.Addr
-	// Service is the address that it speaks to.
+	// Service is the address of the service that the caller uses.
 	Service netip.AddrPort
-	// Seed feeds tokens.
+	// Seed is the random seed of tokens and of the first message ID.
 	Seed uint64
-	// Timeout bounds one request.
+	// Timeout is the time limit of one request, over all its exchanges.
 	Timeout time.Duration
 }
 
-// Caller is one caller with its own address.
+// Caller is one caller with a socket of its own.
 type Caller struct {
 	cfg  Config
 	conn *net.UDPConn
 
 	mu sync.Mutex
-	// rng, messageID and waiting are guarded by mu.
+	// rng, messageID and pending are guarded by mu.
 	rng       *rand.Rand
 	messageID uint16
-	pending   map[model.Token]chan message.Message
+	// pending holds the inbox of each token in use.
+	pending map[model.Token]chan message.Message
 }
 
-// New opens a caller's socket.
+// New opens the socket of a caller and starts to receive messages.
 func New(cfg Config) (*Caller, error) {
 	conn, err := net.DialUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(cfg.Local, 0)), net.UDPAddrFromAddrPort(cfg.Service))
 	if err != nil {
@@ -124,6 +133,7 @@
 	return c.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
+// receive dispatches messages until the socket is closed.
 func (c *Caller) receive() {
 	buf := make([]byte, maxDatagram)
 	for {
@@ -139,6 +149,8 @@
 	}
 }
 
+// dispatch acknowledges a confirmable message and delivers it to the inbox of its token. It drops messages with an unknown token and messages
+// to a full inbox.
 func (c *Caller) dispatch(m message.Message) {
 	if m.Type == message.Confirmable {
 		c.send(message.Message{Code: codes.Empty, Type: message.Acknowledgement, MessageID: m.MessageID})
@@ -155,6 +167,7 @@
 	}
 }
 
+// send sends a message; messages that cannot be encoded are dropped.
 func (c *Caller) send(m message.Message) {
 	size, err := coder.DefaultCoder.Size(m)
 	if err != nil {
@@ -168,7 +181,7 @@
 	_, _ = c.conn.Write(raw[:n])
 }
 
-// openInbox returns a new token and the box for its answers.
+// openInbox returns a new token and the inbox for messages with that token.
 func (c *Caller) openInbox() (message.Token, chan message.Message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,7 +207,8 @@
 	return int32(c.messageID)
 }
 
-// Do makes one request: it follows a binding, repeats what gets no answer, and gives up after the caller's patience.
+// Do makes one request. A 4.01 (Unauthorized) response carries a binding in its Echo option, with which the request is sent again. Messages
+// without a response are retransmitted until Config.Timeout.
 func (c *Caller) Do(ctx context.Context, req Request) Result {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
@@ -214,6 +228,7 @@
 	return Result{Outcome: OutcomeTimeout, Latency: time.Since(start), Binding: binding}
 }
 
+// outcomeOf returns the outcome that a final response stands for.
 func outcomeOf(m message.Message) Outcome {
 	switch m.Code {
 	case codes.ServiceUnavailable:
@@ -225,7 +240,8 @@
 	}
 }
 
-// exchange sends one message until it is answered or ctx ends.
+// exchange sends one message and retransmits it until a response arrives; the second result is false if ctx ends before. An empty
+// acknowledgement is not a response.
 func (c *Caller) exchange(ctx context.Context, req Request, binding []byte) (message.Message, bool) {
 	token, inbox := c.openInbox()
 	defer c.closeInbox(token)
@@ -251,6 +267,7 @@
 	}
 }
 
+// options returns the CoAP options of the request, with the binding in the Echo option.
 func (r Request) options(binding []byte) message.Options {
 	opts := make(message.Options, 0, maxOptions)
 	for _, part := range strings.Split(strings.Trim(r.Path, "/"), "/") {
@@ -268,6 +285,7 @@
 	return opts
 }
 
+// blockValue returns v as an option value of two bytes.
 func blockValue(v int) []byte {
 	return []byte{byte(v >> 8), byte(v)}
 }
--- a/internal/stand/caller/flow.go
+++ b/internal/stand/caller/flow.go
@@ -9,22 +9,26 @@
 )
 
 const (
+	// bootSize is the size of the upstream's boot ID at the start of each reply, in bytes.
 	bootSize       = 8
 	flowBufferSize = 2048
 )
 
-// FlowReport is what happened to one opaque flow.
+// FlowReport holds the results of one opaque flow.
 type FlowReport struct {
+	// Sent counts the datagrams sent, and Replies the replies to them.
 	Sent, Replies int
-	// UpstreamChanges counts answers of another upstream than the first.
+	// UpstreamChanges counts replies whose boot ID differs from that of the reply before: they came from another upstream, or from the same
+	// one after a restart.
 	UpstreamChanges int
-	// Misdelivered counts answers to other callers' datagrams.
+	// Misdelivered counts datagrams that are not replies to this flow.
 	Misdelivered int
-	// LastReply is when the last answer came.
+	// LastReply is when the last reply arrived.
 	LastReply time.Time
 }
 
-// RunFlow sends numbered datagrams from one address until ctx ends and reports who answered.
+// RunFlow sends a datagram to the service at every interval until ctx ends, all from one socket, and checks the replies. Each datagram holds the
+// flow ID, which must be unique among flows, and its sequence number.
 func RunFlow(ctx context.Context, local netip.Addr, service netip.AddrPort, interval time.Duration, flowID uint32) (r FlowReport, err error) {
 	conn, err := net.DialUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(local, 0)), net.UDPAddrFromAddrPort(service))
 	if err != nil {
@@ -51,7 +55,7 @@
 	return r, nil
 }
 
-// handleReply checks one answer: the start of its upstream, then the caller's own bytes.
+// handleReply checks one reply: the boot ID of its upstream, followed by the datagram as it was sent.
 func (r *FlowReport) handleReply(raw []byte, flowID uint32, lastBoot *uint64) {
 	if len(raw) < bootSize+4 || binary.BigEndian.Uint32(raw[bootSize:]) != flowID {
 		r.Misdelivered++
--- a/internal/stand/caller/stream.go
+++ b/internal/stand/caller/stream.go
@@ -9,51 +9,56 @@
 	"github.com/plgd-dev/go-coap/v3/message/codes"
 )
 
-// StreamConfig is what a stream is opened with.
+// StreamConfig configures a stream.
 type StreamConfig struct {
+	// Path is the path of the observed resource.
 	Path string
-	// RefreshInterval is how often the stream is refreshed.
+	// RefreshInterval is the time between two registrations of the stream.
 	RefreshInterval time.Duration
-	// StallTimeout is how long a stream may bring nothing before it counts as broken.
+	// StallTimeout is the time without a message after which the stream counts as stalled.
 	StallTimeout time.Duration
 }
 
-// StreamReport is what happened to one stream.
+// StreamReport holds the results of one stream.
 type StreamReport struct {
-	// Notifications counts notifications in sequence.
+	// Notifications counts the notifications that arrived in sequence.
 	Notifications int
-	// Gaps counts breaks of the sequence, Moves other upstreams than before, Silences too long times without word.
+	// Gaps counts jumps in the sequence, UpstreamChanges the times that the stream was opened anew at an upstream, and Stalls the periods of
+	// StallTimeout without a message.
 	Gaps, UpstreamChanges, Stalls int
 	// Refusals counts registrations that were refused.
 	Refusals int
-	// Opened is set when the stream was ever open.
+	// Opened is set once the stream has been open.
 	Opened bool
-	// StreamID is where it is open.
+	// StreamID is the ID that the upstream gave the stream: the upstream's name and a number, separated by a slash.
 	StreamID string
 }
 
-// Breaks returns how often the flow broke.
+// Breaks returns the number of interruptions of all kinds.
 func (r StreamReport) Breaks() int {
 	return r.Gaps + r.UpstreamChanges + r.Stalls
 }
 
-// stream is the state of one open stream.
+// stream is the caller's state of one stream.
 type stream struct {
-	c            *Caller
-	cfg          StreamConfig
-	token        message.Token
-	inbox        chan message.Message
-	binding      []byte
-	id           string
-	seq          int
+	c     *Caller
+	cfg   StreamConfig
+	token message.Token
+	inbox chan message.Message
+	// binding is the last binding that the load balancer issued; it is sent with every registration.
+	binding []byte
+	// id and seq are the stream ID and the sequence number of the last notification.
+	id  string
+	seq int
+	// lastMessage is when the last notification or response arrived, and lastResponse is when the last response to a registration did.
 	lastMessage  time.Time
 	lastResponse time.Time
-	// registrationID is the message ID of the registration that waits for its answer; an answer to an earlier one is a double.
+	// registrationID is the message ID of the last registration; acknowledgements of earlier ones are duplicates and are ignored.
 	registrationID int32
 	report         StreamReport
 }
 
-// RunStream keeps a stream open until ctx ends and reports what happened; watch, if given, sees each change.
+// RunStream keeps a stream open until ctx ends and returns its report. After every event, watch is called with the report so far; it may be nil.
 func (c *Caller) RunStream(ctx context.Context, cfg StreamConfig, watch func(StreamReport)) StreamReport {
 	s := &stream{c: c, cfg: cfg, lastMessage: time.Now()}
 	s.token, s.inbox = c.openInbox()
@@ -83,7 +88,7 @@
 	}
 }
 
-// register opens or refreshes the stream.
+// register sends a registration, which opens or refreshes the stream, and returns the time of sending.
 func (s *stream) register() time.Time {
 	opts := Request{Path: s.cfg.Path}.options(s.binding)
 	opts = opts.Add(message.Option{ID: message.Observe, Value: []byte{}})
@@ -98,6 +103,7 @@
 	return time.Now()
 }
 
+// handle handles one message of the stream.
 func (s *stream) handle(m message.Message) {
 	if m.Type == message.Acknowledgement && m.MessageID != s.registrationID {
 		return
@@ -118,7 +124,8 @@
 	}
 }
 
-// handleContent checks one notification or the answer to a registration.
+// handleContent checks one notification or response to a registration. A notification with another stream ID than the current one is ignored: it
+// belongs to a stream that was replaced.
 func (s *stream) handleContent(m message.Message) {
 	var id string
 	var seq int
@@ -149,6 +156,7 @@
 	}
 }
 
+// checkStall counts a stall if no message has arrived for StallTimeout, and starts a new period.
 func (s *stream) checkStall() {
 	if time.Since(s.lastMessage) > s.cfg.StallTimeout && s.report.Opened {
 		s.report.Stalls++
--- a/internal/stand/crowd/crowd.go
+++ b/internal/stand/crowd/crowd.go
@@ -1,4 +1,5 @@
-// Package crowd is callers that ask all the time: on flows that stay open, and with a flow each for requests that run at most once.
+// Package crowd generates a continuous load of requests. Idempotent requests share long-lived flows; every other request uses a flow of its
+// own, because it must not run more than once.
 package crowd
 
 import (
@@ -12,37 +13,38 @@
 	"hawthorncourse/platform/stand"
 )
 
-// maxAttempts is how often a caller tries one request, as the platform's callers do.
+// maxAttempts is the number of attempts that a caller makes for one request; it matches the platform's callers.
 const maxAttempts = 3
 
 // Workload is one kind of request.
 type Workload struct {
-	// Name begins the id of each request.
+	// Name is the prefix of the ID of each request.
 	Name string
-	// Address is where flows are opened to, and Service is who must answer.
+	// Address is the address that flows are opened to, and Service is the name of the service that must respond.
 	Address netip.AddrPort
 	Service string
-	// Idempotent requests share a flow and are tried again after any failure; others have a flow each.
+	// Idempotent requests of one worker share a flow and are retried after any failure. Others use a new flow each and are not retried once the
+	// flow is open.
 	Idempotent bool
 }
 
-// Config is what a Crowd is built from.
+// Config configures a Generator.
 type Config struct {
-	// Callers are used in turn.
+	// Callers are assigned to the workers in round-robin order.
 	Callers []*stand.Caller
-	// Workloads holds every kind of request.
+	// Workloads holds the kinds of requests to send.
 	Workloads []Workload
-	// Concurrency is the number of loops for each kind.
+	// Concurrency is the number of workers for each workload; a worker sends one request at a time.
 	Concurrency int
-	// Deadline is when a caller gives a request up.
+	// Deadline is the time limit of one request, over all its attempts.
 	Deadline time.Duration
-	// ThinkTime is the pause between two requests of one loop.
+	// ThinkTime is the pause between two requests of one worker.
 	ThinkTime time.Duration
-	// OnReset is told of every reset of an open flow; it may be nil.
+	// OnReset is called for every reset of an open flow; it may be nil.
 	OnReset func(*stand.ResetError)
 }
 
-// Generator is a running load.
+// Generator sends requests until it is stopped, checks the responses and counts the results.
 type Generator struct {
 	cfg    Config
 	ctx    context.Context
@@ -52,22 +54,22 @@
 	mu sync.Mutex
 	// All below is guarded by mu.
 	counts Counts
-	// countingSince is when the counts began: what was asked before does not count.
+	// countingSince is the time of the last ResetCounts: requests that started earlier are not counted.
 	countingSince  time.Time
 	wrongResponses []string
 }
 
-// Counts is what callers saw of the requests that began after the last Forget.
+// Counts holds the results of the requests that started after the last ResetCounts.
 type Counts struct {
-	// Served and Failed count requests over all their tries.
+	// Served and Failed count requests by their final result; a request that succeeds on a later attempt is served.
 	Served, Failed int
-	// BrokenFlows counts open flows that ended before their request was answered.
+	// BrokenFlows counts failures on flows shared by idempotent requests: the flow was open, but a request on it got no response.
 	BrokenFlows int
-	// MaxLatency is the longest time that a served request took.
+	// MaxLatency is the highest latency of a served request, over all its attempts.
 	MaxLatency time.Duration
 }
 
-// Start lets callers ask until Stop.
+// Start starts the workers, which send requests until Stop is called or ctx ends.
 func Start(ctx context.Context, cfg Config) *Generator {
 	g := &Generator{cfg: cfg}
 	g.ctx, g.cancel = context.WithCancel(ctx)
@@ -84,25 +86,25 @@
 	return g
 }
 
-// Stop ends the load and waits for it.
+// Stop cancels the requests in progress and waits until all workers have finished.
 func (g *Generator) Stop() {
 	g.cancel()
 	g.wg.Wait()
 }
 
-// ResetCounts begins to count anew: a request that was under way by then may have been lost by what happened before.
+// ResetCounts sets the counts to zero. Requests in progress are not counted, since they may still fail because of an earlier fault.
 func (g *Generator) ResetCounts() {
 	g.withLock(func() { g.counts, g.countingSince = Counts{}, time.Now() })
 }
 
-// Counts returns what was counted since the last Forget.
+// Counts returns the results since the last ResetCounts.
 func (g *Generator) Counts() Counts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.counts
 }
 
-// WrongResponses returns every answer that was not the caller's own.
+// WrongResponses describes every response that came from the wrong service or belongs to another request.
 func (g *Generator) WrongResponses() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -115,13 +117,13 @@
 	f()
 }
 
-// sendOnOneFlow asks again and again on one flow and opens another when it ends.
+// sendOnOneFlow sends requests on one flow, and opens a new flow after a failure.
 func (g *Generator) sendOnOneFlow(caller *stand.Caller, w Workload, worker int) {
 	var f *stand.Flow
 	for i := 0; g.ctx.Err() == nil; i++ {
 		ctx, cancel := context.WithTimeout(g.ctx, g.cfg.Deadline)
 		started := time.Now()
-		err := errors.New("not tried")
+		err := errors.New("request not attempted")
 		for attempt := 0; attempt < maxAttempts && err != nil && ctx.Err() == nil; attempt++ {
 			if f == nil {
 				if f, err = caller.Open(ctx, w.Address); err != nil {
@@ -139,7 +141,7 @@
 	}
 }
 
-// sendOnNewFlows opens a flow for each request.
+// sendOnNewFlows opens a new flow for each request. Only the opening is retried.
 func (g *Generator) sendOnNewFlows(caller *stand.Caller, w Workload, worker int) {
 	for i := 0; g.ctx.Err() == nil; i++ {
 		ctx, cancel := context.WithTimeout(g.ctx, g.cfg.Deadline)
@@ -159,11 +161,12 @@
 	}
 }
 
+// request sends one request on an open flow and checks the response.
 func (g *Generator) request(ctx context.Context, f *stand.Flow, w Workload, id string) error {
 	response, err := f.Request(ctx, id)
 	if err == nil && response != w.Service+" "+id {
 		g.withLock(func() {
-			g.wrongResponses = append(g.wrongResponses, fmt.Sprintf("asked %q of %q, got %q", id, w.Service, response))
+			g.wrongResponses = append(g.wrongResponses, fmt.Sprintf("request %q to service %q got response %q", id, w.Service, response))
 		})
 	}
 	var reset *stand.ResetError
@@ -173,6 +176,7 @@
 	return err
 }
 
+// recordResult counts the final result of a request, unless the generator was stopped meanwhile.
 func (g *Generator) recordResult(err error, started time.Time) {
 	if g.ctx.Err() != nil {
 		return
@@ -187,7 +191,7 @@
 	})
 }
 
-// update counts what a request met that began after the last Forget.
+// update applies a change to the counts if the request started after the last ResetCounts.
 func (g *Generator) update(started time.Time, apply func(*Counts)) {
 	g.withLock(func() {
 		if started.After(g.countingSince) {
--- a/internal/stand/spray/spray.go
+++ b/internal/stand/spray/spray.go
@@ -1,4 +1,5 @@
-// Package spray is a stand-in for the fabric: it hands each packet to any entry instance.
+// Package spray provides a fake network fabric with packet spraying: it sends each packet of a caller to a random instance, without regard to
+// flows.
 package spray
 
 import (
@@ -19,19 +20,19 @@
 	socketBuffer = 8 << 20
 )
 
-// Config is what a Fabric is built from.
+// Config configures a Fabric.
 type Config struct {
-	// EgressAddress is the address to which instances send packets for callers.
+	// EgressAddress is the UDP address to which instances send packets for callers.
 	EgressAddress netip.AddrPort
-	// Services holds the service addresses that callers send to.
+	// Services holds the service addresses to which callers send packets.
 	Services []netip.AddrPort
-	// Seed feeds the choice of instances.
+	// Seed is the random seed of the choice of instances and of duplicated packets.
 	Seed uint64
-	// DuplicateRate is the share of callers' packets that are sent twice, from 0 to 1.
+	// DuplicateRate is the share of the callers' packets that are sent twice, from 0 to 1.
 	DuplicateRate float64
 }
 
-// Fabric moves packets between callers and instances.
+// Fabric forwards packets between callers and instances.
 type Fabric struct {
 	cfg       Config
 	egress    *net.UDPConn
@@ -43,7 +44,7 @@
 	rng *rand.Rand
 }
 
-// New opens the sockets of a fabric.
+// New opens the sockets of a fabric, which has no instances yet.
 func New(cfg Config) (*Fabric, error) {
 	f := &Fabric{cfg: cfg, services: map[netip.AddrPort]*net.UDPConn{}, rng: rand.New(rand.NewPCG(cfg.Seed, 0))}
 	var err error
@@ -71,18 +72,18 @@
 	return conn, nil
 }
 
-// EgressAddress returns the address to which instances send packets for callers.
+// EgressAddress returns the UDP address to which instances send packets for callers.
 func (f *Fabric) EgressAddress() netip.AddrPort {
 	return f.egress.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// SetInstances replaces the instances that packets are sprayed over.
+// SetInstances replaces the instances over which packets are sprayed. Without instances, callers' packets are dropped.
 func (f *Fabric) SetInstances(instances []netip.AddrPort) {
 	list := append([]netip.AddrPort{}, instances...)
 	f.instances.Store(&list)
 }
 
-// Run moves packets until the context ends.
+// Run forwards packets until ctx ends.
 func (f *Fabric) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	stop := context.AfterFunc(ctx, f.Close)
@@ -104,7 +105,7 @@
 	}
 }
 
-// forwardIngress sprays callers' packets over the instances.
+// forwardIngress sprays the packets of callers to one service over the instances. Each copy of a duplicated packet goes to a random instance.
 func (f *Fabric) forwardIngress(ctx context.Context, service netip.AddrPort, conn *net.UDPConn) error {
 	buf := make([]byte, maxDatagram)
 	for {
@@ -128,6 +129,7 @@
 	}
 }
 
+// copyCount returns how many times a packet is sent.
 func (f *Fabric) copyCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -137,6 +139,7 @@
 	return 1
 }
 
+// pickInstance returns the address of a random instance, or an invalid address if there is none.
 func (f *Fabric) pickInstance() netip.AddrPort {
 	instances := *f.instances.Load()
 	if len(instances) == 0 {
@@ -147,7 +150,7 @@
 	return instances[f.rng.IntN(len(instances))]
 }
 
-// forwardEgress sends the instances' packets to callers from the service address.
+// forwardEgress sends the packets of instances on to callers, from the service's address.
 func (f *Fabric) forwardEgress(ctx context.Context) error {
 	buf := make([]byte, maxDatagram)
 	for {
--- a/internal/stand/stage/process.go
+++ b/internal/stand/stage/process.go
@@ -17,37 +17,38 @@
 )
 
 const (
-	// startTimeout is how long an instance may take to be ready on a busy machine.
+	// startTimeout is how long all instances together may take to become ready, on a busy machine.
 	startTimeout = 15 * time.Second
-	// metricsPort is that of deploy/system.toml.
+	// metricsPort is the metrics port in deploy/system.toml.
 	metricsPort = 9464
 )
 
-// Process is one instance; its process may be ended and started again.
+// Process is one instance that runs as a process of its own, which can be stopped and started again.
 type Process struct {
+	// Settings holds the content of the settings file, which is written at every start.
 	Settings stand.Settings
-	// StoreProxy is the instance's way to the store.
+	// StoreProxy is the proxy through which the instance reaches the store.
 	StoreProxy *stand.FaultProxy
-	// Index is the place in the list of processes.
+	// Index is the position in Environment.Processes.
 	Index int
 
 	settingsPath, logPath, binary string
-	// ready is set while routers send to it.
+	// ready is set while the routers send packets to the instance.
 	ready atomic.Bool
 
 	mu sync.Mutex
-	// cmd and ended are those of the present start; they are guarded by mu.
+	// cmd is the current run, and exited is closed when it exits; both are guarded by mu.
 	cmd    *exec.Cmd
 	exited chan struct{}
-	// started is when the present start began; it is guarded by mu.
+	// started is the start time of the current run; it is guarded by mu.
 	started time.Time
-	// stopRequested is set while somebody wants the process to end; it is guarded by mu.
+	// stopRequested is set once Stop or Kill was called for the current run; it is guarded by mu.
 	stopRequested bool
-	// unexpectedExits holds the ends that nobody asked for; it is guarded by mu.
+	// unexpectedExits holds an error for each exit without a call of Stop or Kill; it is guarded by mu.
 	unexpectedExits []error
 }
 
-// Start starts the instance's process.
+// Start writes the settings file and starts the process. It does not wait until the instance is ready.
 func (p *Process) Start() (err error) {
 	defer func() {
 		if err != nil {
@@ -77,7 +78,7 @@
 		_ = logFile.Close()
 		p.mu.Lock()
 		if !p.stopRequested {
-			p.unexpectedExits = append(p.unexpectedExits, eris.Errorf("%s ended by itself: %v", p.Settings.Name, err))
+			p.unexpectedExits = append(p.unexpectedExits, eris.Errorf("%s exited without a stop request: %v", p.Settings.Name, err))
 		}
 		p.mu.Unlock()
 		close(exited)
@@ -85,24 +86,24 @@
 	return nil
 }
 
-// MetricsAddress returns where the instance serves its metrics and its report.
+// MetricsAddress returns the HTTP address at which the instance serves its metrics and its status report.
 func (p *Process) MetricsAddress() string {
 	return netip.AddrPortFrom(p.Settings.Packets.Addr(), metricsPort).String()
 }
 
-// WriteSettings writes the settings file.
+// WriteSettings writes Settings to the settings file.
 func (p *Process) WriteSettings() error {
 	return os.WriteFile(p.settingsPath, p.Settings.TOML(), 0o600)
 }
 
-// Signal sends a signal that does not end the process.
+// Signal sends a signal to the process. To terminate the process, use Stop or Kill instead: they mark the exit as expected.
 func (p *Process) Signal(sig syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_ = p.cmd.Process.Signal(sig)
 }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Process) Kill() {
 	p.setStopRequested()
 	p.Signal(syscall.SIGKILL)
@@ -110,7 +111,7 @@
 	p.ready.Store(false)
 }
 
-// Stop begins the planned stop and returns its exit code once the process has ended; an error tells that it took too long.
+// Stop sends SIGTERM, waits until the process has exited and returns its exit code. It returns an error if the process still runs after the timeout.
 func (p *Process) Stop(timeout time.Duration) (code int, err error) {
 	p.setStopRequested()
 	p.Signal(syscall.SIGTERM)
@@ -121,7 +122,7 @@
 		defer p.mu.Unlock()
 		return p.cmd.ProcessState.ExitCode(), nil
 	case <-time.After(timeout):
-		return 0, eris.Errorf("%s has not ended after %s", p.Settings.Name, timeout)
+		return 0, eris.Errorf("%s has not exited within %s", p.Settings.Name, timeout)
 	}
 }
 
@@ -131,47 +132,47 @@
 	p.stopRequested = true
 }
 
-// Exited is closed when the present start has ended.
+// Exited returns a channel that is closed when the current run exits.
 func (p *Process) Exited() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.exited
 }
 
-// Running reports whether the process runs and nobody has asked it to end.
+// Running reports whether the process is meant to run: it was started and neither Stop nor Kill was called since.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.stopRequested
 }
 
-// Uptime returns how long ago the present start began.
+// Uptime returns the time since the start of the current run.
 func (p *Process) Uptime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return time.Since(p.started)
 }
 
-// PID returns the process id of the present start.
+// PID returns the process ID of the current run.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process.Pid
 }
 
-// Ready reports whether routers send to the instance.
+// Ready reports whether the routers send packets to the instance.
 func (p *Process) Ready() bool {
 	return p.ready.Load()
 }
 
-// UnexpectedExits returns the ends that nobody asked for.
+// UnexpectedExits returns an error for each exit without a call of Stop or Kill.
 func (p *Process) UnexpectedExits() []error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]error(nil), p.unexpectedExits...)
 }
 
-// Log returns what every start of the instance wrote.
+// Log returns the output of all runs of the instance, or the text of the error if the log file cannot be read.
 func (p *Process) Log() string {
 	text, err := os.ReadFile(p.logPath)
 	if err != nil {
--- a/internal/stand/stage/router.go
+++ b/internal/stand/stage/router.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// readinessInterval is the routers' pause between two readiness checks of one instance.
+	// readinessInterval is the time between two rounds of readiness checks, and the timeout of one check.
 	readinessInterval = 500 * time.Millisecond
-	// failureThreshold is how many checks in a row take an instance out of rotation.
+	// failureThreshold is the number of consecutive failed checks that takes an instance out of rotation.
 	failureThreshold = 2
-	pollInterval     = 10 * time.Millisecond
+	// pollInterval is the time between two checks of the instances in AwaitReady.
+	pollInterval = 10 * time.Millisecond
 )
 
-// checkReadiness plays the routers' readiness checks.
+// checkReadiness runs the routers' readiness checks until the environment is closed.
 func (e *Environment) checkReadiness() {
 	client := &http.Client{Timeout: readinessInterval}
 	failures := map[*Process]int{}
@@ -48,7 +49,8 @@
 	return append([]*Process(nil), e.Processes...)
 }
 
-// router returns the way of a failure domain's routers: a hash over those that are ready there, or in all others.
+// router returns the routing function of a failure domain's routers. It hashes a flow onto the ready instances of that domain, or onto
+// all ready instances if the domain has none. The result is invalid if the packet is dropped.
 func (e *Environment) router(domain int) func(model.FlowKey) netip.AddrPort {
 	return func(key model.FlowKey) netip.AddrPort {
 		var local, all []netip.AddrPort
@@ -71,7 +73,7 @@
 	}
 }
 
-// SetPacketLoss lets a share of callers' packets reach nobody.
+// SetPacketLoss makes the routers drop a share of the callers' packets, from 0 to 1.
 func (e *Environment) SetPacketLoss(rate float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -84,7 +86,7 @@
 	return e.lossRate > 0 && rand.Float64() < e.lossRate
 }
 
-// AwaitReady waits until every instance that runs is ready.
+// AwaitReady waits until every running instance is ready. After the timeout it returns an error that names an instance that is not.
 func (e *Environment) AwaitReady(timeout time.Duration) error {
 	for deadline := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
 		notReady := ""
@@ -97,7 +99,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return eris.Errorf("%s is not ready within %s", notReady, timeout)
+			return eris.Errorf("%s did not become ready within %s", notReady, timeout)
 		}
 	}
 }
--- a/internal/stand/stage/stage.go
+++ b/internal/stand/stage/stage.go
@@ -1,4 +1,5 @@
-// Package stage runs relay instances as processes between stand-ins of the platform: its store, upstreams, callers and routers.
+// Package stage provides a test environment in which relay instances run as real processes. The platform around them is fake: its store,
+// upstreams, callers and routers run in the test's own process.
 package stage
 
 import (
@@ -17,6 +18,7 @@
 	"hawthorncourse/platform/stand"
 )
 
+// The ports of the loopback addresses. Callers receive packets at packetPort too.
 const (
 	packetPort   = 7172
 	readyPort    = 7167
@@ -25,72 +27,75 @@
 	storePort    = 7400
 )
 
-// The groups of loopback addresses, by the third byte.
+// The groups of loopback addresses. An address is 127.subnet.group.host.
 const (
 	groupStore = 1 + iota
 	groupUpstreams
 	groupInstances
 	groupCallers
-	// groupProxies is the first of those that stand in the place of control addresses, one for each calling instance.
+	// groupProxies is the first of the groups of fault proxies between instances. There is one group for each client instance, in which the
+	// host byte selects the server instance.
 	groupProxies
 )
 
-// Config is what a Stage is built from.
+// Config configures an Environment.
 type Config struct {
-	// Binary is the program that instances run.
+	// Binary is the path of the program that instances run.
 	Binary string
-	// Dir holds settings and logs.
+	// Dir is the directory of the settings files and log files.
 	Dir string
-	// Subnet is the second byte of every loopback address; stages that run at once have different ones.
+	// Subnet is the second byte of every loopback address. Environments that run concurrently must have different ones.
 	Subnet int
-	// Domains holds the failure domains.
+	// Domains holds the names of the failure domains.
 	Domains []string
-	// Instances is the number of instances; they are in the failure domains in turn.
+	// Instances is the number of instances, which are assigned to the failure domains in round-robin order.
 	Instances int
-	// Services names the service of each upstream; upstreams are in the failure domains in turn.
+	// Services holds the service of each upstream. Upstreams are assigned to the failure domains in round-robin order.
 	Services []string
-	// Routes holds the first configuration.
+	// Routes is the initial configuration.
 	Routes []stand.Route
-	// RequestTime is how long one request takes.
+	// RequestTime is how long an upstream takes for one request.
 	RequestTime time.Duration
-	// ColdFor is how long an upstream is cold after its start.
+	// ColdFor is the duration of an upstream's cold start.
 	ColdFor time.Duration
-	// MaxStaleness is the time in which every change must be in force.
+	// MaxStaleness is the time within which a change in the store must take effect at every instance.
 	MaxStaleness time.Duration
-	// Links puts a tunnel between any two instances.
+	// Links injects faults into the connections between instances. If it is nil, instances connect to each other directly.
 	Links tunnel.Links
 }
 
-// Environment is a platform of stand-ins with instances.
+// Environment is a set of running instances and the fake platform around them.
 type Environment struct {
 	cfg    Config
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	Store     *stand.Store
+	Store *stand.Store
+	// Processes holds every instance, those that were stopped included.
 	Processes []*Process
-	// Callers holds one caller in each failure domain.
+	// Callers holds one caller for each failure domain, in the order of Config.Domains.
 	Callers []*stand.Caller
 
 	mu sync.Mutex
 	// All below is guarded by mu.
 	upstreams []*stand.Upstream
 	proxies   map[link]*tunnel.Proxy
-	closers   []func()
-	// lossRate is the share of callers' packets that never reach an instance.
+	// closers close the listeners of the store proxies.
+	closers []func()
+	// lossRate is the share of the callers' packets that the routers drop, from 0 to 1.
 	lossRate float64
 }
 
-// link names two instances, by their numbers.
+// link identifies the connections that one instance opens to another; both are given by Process.Index.
 type link struct {
 	from, to int
 }
 
-// New starts a stage; the instances are ready when it returns.
+// New starts an environment and waits until all instances are ready. If it fails, it closes what it has started.
 func New(ctx context.Context, cfg Config) (e *Environment, err error) {
 	defer func() {
 		if err != nil {
-			err = eris.Wrap(err, "start stage")
+			err = eris.Wrap(err, "start test environment")
 			e.Close()
 		}
 	}()
@@ -118,7 +123,7 @@
 	return e, e.AwaitReady(startTimeout)
 }
 
-// Close ends every process and stand-in.
+// Close kills every process and closes the fake platform.
 func (e *Environment) Close() {
 	e.cancel()
 	for _, p := range e.Processes {
@@ -140,14 +145,14 @@
 	}
 }
 
-// Upstreams returns every upstream that ever was, those that have ended included.
+// Upstreams returns every upstream that was ever added, those that were closed included.
 func (e *Environment) Upstreams() []*stand.Upstream {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]*stand.Upstream(nil), e.upstreams...)
 }
 
-// AddUpstream starts one more upstream, at an address of its own if none is given.
+// AddUpstream starts another upstream. If addr is invalid, the address is derived from the number.
 func (e *Environment) AddUpstream(number uint64, service, domain string, addr netip.AddrPort) (*stand.Upstream, error) {
 	if !addr.IsValid() {
 		addr = e.upstreamAddress(int(number))
@@ -173,7 +178,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(e.cfg.Subnet), byte(group), byte(host)}), port)
 }
 
-// AddInstance starts one more instance in a failure domain.
+// AddInstance starts another instance in a failure domain. It does not wait until the instance is ready.
 func (e *Environment) AddInstance(domain string) error {
 	n := len(e.Processes)
 	proxy, addr, err := e.openStoreProxy(n)
@@ -194,7 +199,8 @@
 	return p.Start()
 }
 
-// seeds returns the control addresses of the first instances, as the platform names them: they may be gone.
+// seeds returns the control addresses of the first two instances, which every settings file lists. As on the real platform, the list may be
+// stale: those instances may have stopped.
 func (e *Environment) seeds() (list []netip.AddrPort) {
 	for n := range min(2, e.cfg.Instances) {
 		list = append(list, e.addr(groupInstances, n+1, controlPort))
@@ -206,7 +212,7 @@
 	return fmt.Sprintf("instance-%d", n)
 }
 
-// openStoreProxy opens the way of one instance to the store.
+// openStoreProxy starts the proxy through which one instance reaches the store and returns the proxy and its address.
 func (e *Environment) openStoreProxy(n int) (*stand.FaultProxy, netip.AddrPort, error) {
 	l, err := net.Listen("tcp", e.addr(groupStore, n+1, storePort).String())
 	if err != nil {
@@ -223,7 +229,8 @@
 	return proxy, netip.MustParseAddrPort(l.Addr().String()), nil
 }
 
-// rewriteAddresses names tunnels in the place of the control addresses of all other instances.
+// rewriteAddresses replaces the control addresses of all other instances in a store response by the addresses of the fault proxies, so that
+// the reading instance connects to the others through them.
 func (e *Environment) rewriteAddresses(from int, body []byte) []byte {
 	e.mu.Lock()
 	count := len(e.Processes)
@@ -240,7 +247,7 @@
 	return body
 }
 
-// proxyAddress returns the address of the tunnel between two instances, which is opened at its first use.
+// proxyAddress returns the address of the fault proxy on a link, and starts the proxy on first use.
 func (e *Environment) proxyAddress(k link) (netip.AddrPort, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -259,7 +266,7 @@
 	return addr, nil
 }
 
-// ResetConnections closes the connections of all calls that an instance makes to others.
+// ResetConnections resets all connections that an instance has opened to other instances through fault proxies.
 func (e *Environment) ResetConnections(from int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/stand/tunnel/tunnel.go
+++ b/internal/stand/tunnel/tunnel.go
@@ -1,4 +1,4 @@
-// Package tunnel passes connections between two named parties and harms them as its links say.
+// Package tunnel provides a TCP proxy that delays and blocks traffic between a client and a server, for tests of network faults.
 package tunnel
 
 import (
@@ -9,20 +9,21 @@
 )
 
 const (
-	// pollInterval is how often a cut link looks whether it is whole again.
+	// pollInterval is the time between two checks whether a blocked direction is still blocked.
 	pollInterval = 10 * time.Millisecond
-	bufferSize   = 64 << 10
+	// bufferSize is the maximum size of a chunk of data, in bytes.
+	bufferSize = 64 << 10
 )
 
-// Links tells what happens to bytes on their way from one party to another.
+// Links describes the current faults between parties, which are given by name. The two directions between two parties are independent.
 type Links interface {
-	// Blocked reports whether nothing passes at present.
+	// Blocked reports whether traffic is currently blocked.
 	Blocked(from, to string) bool
-	// Delay is how much later bytes arrive.
+	// Delay returns the delay that is added to each chunk of data.
 	Delay(from, to string) time.Duration
 }
 
-// Proxy listens in the place of one party.
+// Proxy accepts connections on behalf of one server and forwards them to it.
 type Proxy struct {
 	listener   net.Listener
 	target     netip.AddrPort
@@ -31,38 +32,38 @@
 	links      Links
 
 	mu sync.Mutex
-	// conns holds the connections that are open, by their caller's name; it is guarded by mu.
+	// conns maps the open connections of clients to the client's name; it is guarded by mu.
 	conns map[net.Conn]string
 }
 
-// Config is what a Tunnel is built from.
+// Config configures a Proxy.
 type Config struct {
-	// Listener takes connections in the place of the owner.
+	// Listener accepts the connections to forward; the proxy closes it.
 	Listener net.Listener
-	// Target is where the owner listens.
+	// Target is the address of the server.
 	Target netip.AddrPort
-	// ServerName is the name of the party that is called.
+	// ServerName is the name of the server in calls of Links.
 	ServerName string
-	// ClientName names the party that calls from an address.
+	// ClientName returns the name of the client that connects from an address.
 	ClientName func(netip.Addr) string
-	// Links tells what happens on the way.
+	// Links describes the faults to inject.
 	Links Links
 }
 
-// New returns a tunnel that passes connections until Close.
+// New starts a proxy that forwards connections until Close.
 func New(cfg Config) *Proxy {
 	p := &Proxy{listener: cfg.Listener, target: cfg.Target, serverName: cfg.ServerName, clientName: cfg.ClientName, links: cfg.Links, conns: map[net.Conn]string{}}
 	go p.serve()
 	return p
 }
 
-// Close ends the tunnel and its connections.
+// Close closes the listener and resets all connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.Reset("")
 }
 
-// Reset closes the connections of a caller, or of all if it is empty, without a farewell.
+// Reset resets the connections of a client, or all connections if the name is empty: clients see a TCP RST instead of a regular close.
 func (p *Proxy) Reset(client string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,7 +88,8 @@
 	}
 }
 
-// handle copies between two ends while their link is whole; a cut link is silent, and its connections end once it is healed.
+// handle forwards one connection in both directions. While a direction is blocked, its data is held and nothing is closed, as in a network
+// partition. A connection whose data was held, or that was opened during the block, is closed once the block is lifted.
 func (p *Proxy) handle(conn net.Conn) {
 	defer conn.Close()
 	client := p.clientName(conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap())
@@ -119,7 +121,7 @@
 	delete(p.conns, conn)
 }
 
-// waitUnblocked waits until the link is whole; it reports whether it was cut.
+// waitUnblocked waits until a direction is not blocked and reports whether it had to wait.
 func (p *Proxy) waitUnblocked(from, to string) (wasBlocked bool) {
 	for p.links.Blocked(from, to) {
 		wasBlocked = true
@@ -128,6 +130,8 @@
 	return wasBlocked
 }
 
+// forward copies data from src to dst until one of them fails, then closes dst. After a block that held data is lifted, it drops the data and
+// closes dst too.
 func (p *Proxy) forward(dst, src net.Conn, from, to string) {
 	defer dst.Close()
 	buf := make([]byte, bufferSize)
--- a/internal/stand/upnode/coap.go
+++ b/internal/stand/upnode/coap.go
@@ -19,9 +19,9 @@
 
 const (
 	maxOptions = 64
-	// requestTimeSpread is how far a service time may be from its mean, both ways.
+	// requestTimeSpread is the largest deviation of a request time from Config.RequestTime, as a share of it, in both directions.
 	requestTimeSpread = 0.5
-	// blockMoreBit of a Block1 option says that further blocks follow.
+	// blockMoreBit is the bit of a Block1 option that announces further blocks (RFC 7959).
 	blockMoreBit = 0x08
 )
 
@@ -29,7 +29,7 @@
 	return model.BootID(boot)
 }
 
-// handleCoAP handles one CoAP message.
+// handleCoAP handles one CoAP message, which the instance at from has forwarded. It drops messages that it cannot decode.
 func (n *Node) handleCoAP(ctx context.Context, f frame.Frame, from netip.AddrPort) {
 	m := message.Message{Options: make(message.Options, 0, maxOptions)}
 	if _, err := coder.DefaultCoder.Decode(f.Payload, &m); err != nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// handleRequest runs one request if there is a slot for it, or sheds it.
+// handleRequest runs a request in a slot, or sheds it with 5.03 (Service Unavailable) if all slots are in use or shedding is on.
 func (n *Node) handleRequest(ctx context.Context, caller netip.AddrPort, m message.Message, from netip.AddrPort) {
 	n.mu.Lock()
 	n.running++
@@ -82,7 +82,7 @@
 	}()
 }
 
-// finishRequest ends a request unless the node was restarted meanwhile.
+// finishRequest frees the slot of a request and responds, unless the node was killed or restarted meanwhile.
 func (n *Node) finishRequest(caller netip.AddrPort, m message.Message, from netip.AddrPort, boot uint64, requestTime time.Duration) {
 	n.mu.Lock()
 	if n.boot != boot || n.down {
@@ -107,13 +107,14 @@
 	}
 }
 
-// responseText returns an answer that only this request can have.
+// responseText returns a response that names the node and every part of the request, so that callers detect a response to another request.
 func (n *Node) responseText(m message.Message) string {
 	path, _ := m.Options.Path()
 	queries, _ := m.Options.Queries()
 	return fmt.Sprintf("%s %s %s %s %s", n.cfg.Name, m.Code, path, strings.Join(queries, "&"), m.Payload)
 }
 
+// respond sends a response. The response to a confirmable request is piggybacked on its acknowledgement.
 func (n *Node) respond(caller netip.AddrPort, m message.Message, code codes.Code, text string, to netip.AddrPort, boot uint64) {
 	typ := message.NonConfirmable
 	if m.Type == message.Confirmable {
@@ -126,6 +127,7 @@
 	n.send(caller, encode(res), to, boot)
 }
 
+// encode returns the encoded message, or nil if it cannot be encoded.
 func encode(m message.Message) []byte {
 	size, err := coder.DefaultCoder.Size(m)
 	if err != nil {
@@ -139,7 +141,7 @@
 	return raw[:used]
 }
 
-// serveHealth serves the health and load endpoint.
+// serveHealth serves the health endpoint. While the node is down, connections are aborted without a response.
 func (n *Node) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	n.mu.Lock()
 	down := n.down
--- a/internal/stand/upnode/stream.go
+++ b/internal/stand/upnode/stream.go
@@ -15,34 +15,45 @@
 )
 
 const (
-	notificationTick  = 20 * time.Millisecond
+	// notificationTick is the time between two checks for notifications to send.
+	notificationTick = 20 * time.Millisecond
+	// retransmitTimeout is the time after which an unacknowledged notification is sent again.
 	retransmitTimeout = time.Second
-	maxRetransmits    = 30
+	// maxRetransmits is the number of retransmissions after which a stream is closed.
+	maxRetransmits = 30
+	// observeDeregister is the value of the Observe option that cancels a registration (RFC 7641).
 	observeDeregister = 1
-	streamIDRange     = 1_000_000
+	// streamIDRange is the number of different stream IDs of a node.
+	streamIDRange = 1_000_000
 )
 
+// streamKey identifies a stream by its caller and CoAP token. Opaque flows have no token.
 type streamKey struct {
 	caller netip.AddrPort
 	token  model.Token
 }
 
-// stream is one open stream; its notifications are confirmable and in order.
+// stream is one open stream. Its notifications are confirmable and are sent one at a time, in sequence.
 type stream struct {
 	token message.Token
-	// instance is the instance that spoke last for the caller.
+	// instance is the address of the instance that forwarded the caller's last registration; notifications are sent through it.
 	instance netip.AddrPort
-	id       string
-	seq      uint32
-	nextAt   time.Time
-	// unacknowledged is set while a notification is not acknowledged.
+	// id is the node's name and a random number, separated by a slash.
+	id string
+	// seq is the sequence number of the last notification.
+	seq uint32
+	// nextAt is when the next notification is due.
+	nextAt time.Time
+	// unacknowledged is set while the last notification waits for its acknowledgement.
 	unacknowledged bool
-	messageID      uint16
-	sentAt         time.Time
-	retransmits    int
+	// messageID is the message ID of the last notification.
+	messageID uint16
+	// sentAt is when the last notification was sent, retransmissions included.
+	sentAt      time.Time
+	retransmits int
 }
 
-// handleObserve opens, refreshes or ends a stream.
+// handleObserve opens, refreshes or closes a stream.
 func (n *Node) handleObserve(caller netip.AddrPort, m message.Message, from netip.AddrPort) {
 	key := streamKey{caller: caller, token: model.NewToken(m.Token)}
 	observe, _ := m.Options.Observe()
@@ -68,7 +79,7 @@
 	n.respondObserve(caller, m, text, from, boot)
 }
 
-// openStream adds a stream, or returns nil when it is one too many; mu must be held.
+// openStream opens a stream, or returns nil if the limit of open streams is reached; mu must be held.
 func (n *Node) openStream(key streamKey, m message.Message) *stream {
 	limit := n.cfg.Connections
 	n.stats.LastArrival = time.Now()
@@ -90,6 +101,7 @@
 	return s
 }
 
+// respondObserve responds to a registration, with zero as the Observe sequence number.
 func (n *Node) respondObserve(caller netip.AddrPort, m message.Message, text string, to netip.AddrPort, boot uint64) {
 	typ := message.NonConfirmable
 	if m.Type == message.Confirmable {
@@ -105,11 +117,12 @@
 	}), to, boot)
 }
 
+// observeOption returns the Observe option with the low 24 bits of seq.
 func observeOption(seq uint32) message.Options {
 	return message.Options{{ID: message.Observe, Value: []byte{byte(seq >> 16), byte(seq >> 8), byte(seq)}}}
 }
 
-// runNotifications sends due notifications and repeats unacknowledged ones.
+// runNotifications sends and retransmits notifications until ctx ends.
 func (n *Node) runNotifications(ctx context.Context) {
 	tick := time.NewTicker(notificationTick)
 	defer tick.Stop()
@@ -123,11 +136,14 @@
 	}
 }
 
+// outgoing is an encoded notification to a caller, which is sent through the instance at to.
 type outgoing struct {
 	caller, to netip.AddrPort
 	raw        []byte
 }
 
+// sendDueNotifications sends the notifications that are due and retransmits those that were not acknowledged in time. It closes streams
+// without an acknowledgement after maxRetransmits retransmissions.
 func (n *Node) sendDueNotifications(now time.Time) {
 	n.mu.Lock()
 	boot := n.boot
@@ -157,6 +173,7 @@
 	}
 }
 
+// notification returns the encoded notification with the current sequence number.
 func (s *stream) notification() []byte {
 	return encode(message.Message{
 		Token:     s.token,
@@ -168,7 +185,7 @@
 	})
 }
 
-// handleAck takes a caller's word that a notification arrived.
+// handleAck marks the notification that a caller acknowledged, so that it is not retransmitted.
 func (n *Node) handleAck(caller netip.AddrPort, messageID uint16) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -180,7 +197,7 @@
 	}
 }
 
-// handleReset ends the stream whose notification a caller did not want.
+// handleReset closes the stream of a notification that a caller rejected with a CoAP reset.
 func (n *Node) handleReset(caller netip.AddrPort, messageID uint16) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -192,7 +209,7 @@
 	}
 }
 
-// echo answers an opaque datagram with this start of the node before its bytes.
+// echo returns an opaque datagram to its caller, preceded by the node's boot ID. The flow of a caller is counted as a stream.
 func (n *Node) echo(f frame.Frame, from netip.AddrPort) {
 	n.mu.Lock()
 	boot := n.boot
@@ -204,6 +221,7 @@
 			n.openedWhileCold++
 			n.stats.MaxColdOpened = max(n.stats.MaxColdOpened, n.openedWhileCold)
 		}
+		// No notification is ever due on this stream: it waits for an acknowledgement, and its retransmission is not due within the hour.
 		n.streams[key] = &stream{unacknowledged: true, sentAt: time.Now().Add(time.Hour)}
 	}
 	n.mu.Unlock()
--- a/internal/stand/upnode/upnode.go
+++ b/internal/stand/upnode/upnode.go
@@ -1,4 +1,5 @@
-// Package upnode is a stand-in for an upstream: requests with slots, streams, drains, cold starts, shedding and misleading reports.
+// Package upnode provides a fake upstream. It runs requests in a limited number of slots, keeps CoAP observe streams, and simulates crashes,
+// cold starts, drains, load shedding and false health reports.
 package upnode
 
 import (
@@ -18,53 +19,56 @@
 	socketBuffer = 4 << 20
 )
 
-// Config is what a Node is built from.
+// Config configures a Node.
 type Config struct {
-	// Name is told in every answer.
+	// Name is the node's name, which is part of every response.
 	Name string
-	// Service is the only service address whose packets belong here.
+	// Service is the address of the node's service; packets to other services are counted as misrouted and dropped.
 	Service netip.AddrPort
-	// Address receives packets.
+	// Address is the UDP address that packets arrive at.
 	Address netip.AddrPort
-	// Slots, Connections, ColdSlots, ColdConnections and ColdFor are what the upstream bears.
-	Slots, Connections         int
+	// Slots and Connections limit the concurrent requests and the open streams.
+	Slots, Connections int
+	// ColdSlots replaces Slots during a cold start. ColdConnections is the number of streams that may be opened in a cold start; the node does
+	// not enforce it but counts them in Stats.MaxColdOpened.
 	ColdSlots, ColdConnections int
-	ColdFor                    time.Duration
-	// RequestTime is the mean time of one request.
+	// ColdFor is the duration of a cold start.
+	ColdFor time.Duration
+	// RequestTime is the mean duration of a request.
 	RequestTime time.Duration
 	// NotificationInterval is the time between two notifications of a stream.
 	NotificationInterval time.Duration
-	// Opaque makes the node echo datagrams instead of speaking CoAP.
+	// Opaque makes the node echo datagrams instead of handling CoAP.
 	Opaque bool
-	// Seed feeds service times.
+	// Seed is the random seed of request times, boot IDs and stream IDs.
 	Seed uint64
 }
 
-// Stats is what a node has seen since it was made, over all its starts.
+// Stats holds what a node has counted since New, over all restarts.
 type Stats struct {
-	// Executions counts the runs of each booking by its reference.
+	// Executions counts the executions of each booking, by its reference; bookings are requests that must not run twice.
 	Executions map[string]int
-	// Misrouted counts packets of other services.
+	// Misrouted counts packets to other services.
 	Misrouted int
-	// Packets counts all packets.
+	// Packets counts all packets, also those that arrived while the node was down.
 	Packets int
-	// LastPacket is when the last packet of a caller came.
+	// LastPacket is when the last packet arrived.
 	LastPacket time.Time
-	// Requests counts requests that were run; Shed those that were not.
+	// Requests counts the requests that were run, and Shed the requests and streams that were refused.
 	Requests, Shed int
-	// StreamsOpened counts streams opened, LastOpened is when the last one was.
+	// StreamsOpened counts the streams and opaque flows that were opened.
 	StreamsOpened int
-	// LastArrival is when the last new request or stream came.
+	// LastArrival is when the last request, new stream or new opaque flow arrived, refused ones included.
 	LastArrival time.Time
-	// MaxColdRunning and ColdOpened are the most requests at once and streams opened during any cold start, shed ones too.
+	// MaxColdRunning and MaxColdOpened are the maxima over all cold starts of concurrent requests and of opened streams, refused ones included.
 	MaxColdRunning, MaxColdOpened int
-	// MaxRunning is the most requests at once, shed ones too.
+	// MaxRunning is the maximum of concurrent requests, refused ones included.
 	MaxRunning int
-	// BusyTime adds up the time that slots were in use.
+	// BusyTime is the sum of the durations of all finished requests.
 	BusyTime time.Duration
 }
 
-// Node is one stand-in upstream.
+// Node is one fake upstream.
 type Node struct {
 	cfg            Config
 	conn           *net.UDPConn
@@ -72,8 +76,9 @@
 	healthListener net.Listener
 
 	mu sync.Mutex
-	// all below is guarded by mu.
-	rng             *rand.Rand
+	// All below is guarded by mu.
+	rng *rand.Rand
+	// boot is the boot ID, which changes with every restart.
 	boot            uint64
 	down            bool
 	coldUntil       time.Time
@@ -87,13 +92,13 @@
 	messageID       uint16
 }
 
-// HealthReport is what the health endpoint says.
+// HealthReport is the response of the health endpoint. State is warm, cold or draining; Connections is the number of open streams.
 type HealthReport struct {
 	State       string `json:"state"`
 	Connections int    `json:"connections"`
 }
 
-// New opens the sockets of a node, which is warm.
+// New opens the sockets of a node, which starts warm. Packets are handled once Run is called.
 func New(cfg Config) (*Node, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(cfg.Address))
 	if err != nil {
@@ -118,17 +123,17 @@
 	return n, nil
 }
 
-// Address returns where the node receives packets.
+// Address returns the UDP address that packets arrive at.
 func (n *Node) Address() netip.AddrPort {
 	return n.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// HealthAddress returns the address of the health and load endpoint.
+// HealthAddress returns the TCP address of the health endpoint.
 func (n *Node) HealthAddress() netip.AddrPort {
 	return n.healthListener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Run serves until the context ends.
+// Run handles packets and health checks until ctx ends.
 func (n *Node) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
 		_ = n.conn.Close()
@@ -156,7 +161,7 @@
 	}
 }
 
-// Kill makes the node silent and forgets its streams.
+// Kill simulates a crash: the node drops its requests and streams and does not respond until Restart.
 func (n *Node) Kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -165,7 +170,7 @@
 	clear(n.streams)
 }
 
-// Restart makes a new start, in cold start.
+// Restart simulates a restart: the node has a new boot ID and no streams, and begins a cold start.
 func (n *Node) Restart() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -177,28 +182,28 @@
 	clear(n.streams)
 }
 
-// SetDraining makes the node say that it drains.
+// SetDraining sets whether the health endpoint reports that the node is draining. Requests are still accepted.
 func (n *Node) SetDraining(on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.draining = on
 }
 
-// SetShedding makes the node refuse every request.
+// SetShedding sets whether the node sheds every request. New streams are still accepted.
 func (n *Node) SetShedding(on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.shedding = on
 }
 
-// OverrideHealth makes the health endpoint say r, whatever is true; nil ends it.
+// OverrideHealth makes the health endpoint report r regardless of the node's state, even while it is down. A nil r restores true reports.
 func (n *Node) OverrideHealth(r *HealthReport) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.healthOverride = r
 }
 
-// Stats returns a copy of what the node has seen.
+// Stats returns a copy of the node's counts.
 func (n *Node) Stats() Stats {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -210,7 +215,7 @@
 	return out
 }
 
-// Streams returns the number of open streams.
+// Streams returns the number of open streams and opaque flows.
 func (n *Node) Streams() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -222,7 +227,7 @@
 	return n.cfg.Name
 }
 
-// handlePacket handles one packet.
+// handlePacket handles one packet, which the instance at from has forwarded.
 func (n *Node) handlePacket(ctx context.Context, f frame.Frame, from netip.AddrPort) {
 	n.mu.Lock()
 	n.stats.Packets++
@@ -243,7 +248,7 @@
 	n.handleCoAP(ctx, f, from)
 }
 
-// send sends a payload back the way that f came.
+// send sends a payload to a caller through the instance at to.
 func (n *Node) send(caller netip.AddrPort, payload []byte, to netip.AddrPort, boot uint64) {
 	raw, err := frame.Format(frame.Frame{Source: n.cfg.Service, Dest: caller, Boot: bootID(boot), Payload: payload})
 	if err != nil {
@@ -252,7 +257,7 @@
 	_, _ = n.conn.WriteToUDPAddrPort(raw, to)
 }
 
-// cold reports whether the node is in cold start; mu must be held.
+// cold reports whether the node is in a cold start; mu must be held.
 func (n *Node) cold() bool {
 	return time.Now().Before(n.coldUntil)
 }
