--- a/internal/proof/direct/direct_test.go
+++ b/internal/proof/direct/direct_test.go
@@ -19,83 +19,83 @@
 	"hawthorncourse/platform/stand"
 )
 
-// calm is how long a stage runs for a steady measurement.
-const calm = 2 * time.Second
+// steadyTime is how long a stage runs for a steady measurement.
+const steadyTime = 2 * time.Second
 
 // TestPlanned checks that planned changes break no flow and lose no request.
 func TestPlanned(t *testing.T) {
-	cases := map[string]func(*scene){
-		"nothing": func(*scene) { time.Sleep(calm) },
-		"an instance stops and starts": func(s *scene) {
+	cases := map[string]func(*system){
+		"nothing": func(*system) { time.Sleep(steadyTime) },
+		"an instance stops and starts": func(s *system) {
 			s.stopAndStart(s.Processes[0])
-			s.check(s.AwaitReady(startLimit))
-			time.Sleep(calm)
+			s.check(s.AwaitReady(startTimeout))
+			time.Sleep(steadyTime)
 		},
-		"settings change": func(s *scene) {
+		"settings change": func(s *system) {
 			for _, p := range s.Processes {
 				p.Signal(syscall.SIGHUP)
 			}
-			time.Sleep(calm)
+			time.Sleep(steadyTime)
 		},
-		"settings change, with a signal, without, for the worse, and where they cannot": func(s *scene) {
+		"settings change, with a signal, without, for the worse, and where they cannot": func(s *system) {
 			change := func(p *stage.Process, sig bool, want string, edit func(*stand.Settings)) {
 				edit(&p.Settings)
 				s.check(p.WriteSettings())
 				if sig {
 					p.Signal(syscall.SIGHUP)
 				}
-				s.await(startLimit, want, func() bool { return strings.Contains(p.Log(), want) })
+				s.await(startTimeout, want, func() bool { return strings.Contains(p.Log(), want) })
 			}
-			faster := func(set *stand.Settings) { set.MaxStaleness /= 2 }
-			change(s.Processes[0], true, "Changed settings have been applied", faster)
-			change(s.Processes[1], false, "Changed settings have been applied", faster)
+			halveStaleness := func(set *stand.Settings) { set.MaxStaleness /= 2 }
+			change(s.Processes[0], true, "Changed settings have been applied", halveStaleness)
+			change(s.Processes[1], false, "Changed settings have been applied", halveStaleness)
 			change(s.Processes[2], true, "Changed settings cannot be used", func(set *stand.Settings) { set.Store = netip.AddrPort{} })
 			change(s.Processes[3], true, "listen.ready-addr", func(set *stand.Settings) { set.Ready = feedAddress })
 			s.Processes[3].Settings.Ready = netip.AddrPortFrom(s.Processes[3].Settings.Packets.Addr(), s.Processes[0].Settings.Ready.Port())
 			s.upstreams[0].Drain()
-			time.Sleep(changeBy)
+			time.Sleep(changeLimit)
 			from := time.Now()
-			time.Sleep(calm)
+			time.Sleep(steadyTime)
 			if s.upstreams[0].LastOpening().After(from) {
 				s.t.Error("a leaving upstream got a new flow")
 			}
 		},
-		"an upstream drains": func(s *scene) {
+		"an upstream drains": func(s *system) {
 			s.upstreams[0].Drain()
-			time.Sleep(changeBy)
+			time.Sleep(changeLimit)
 			from := time.Now()
-			time.Sleep(calm)
-			if late := s.upstreams[0].LastOpening(); late.After(from) {
-				s.t.Errorf("a leaving upstream got a new flow %s after its word", late.Sub(from)+changeBy)
+			time.Sleep(steadyTime)
+			if last := s.upstreams[0].LastOpening(); last.After(from) {
+				s.t.Errorf("a leaving upstream got a new flow %s after its word", last.Sub(from)+changeLimit)
 			}
 		},
-		"a failure domain is taken out and back": func(s *scene) {
+		"a failure domain is taken out and back": func(s *system) {
 			s.Store.EvacuateDomain("east")
-			time.Sleep(changeBy)
+			time.Sleep(changeLimit)
 			from := time.Now()
-			time.Sleep(calm)
+			time.Sleep(steadyTime)
 			for _, u := range s.upstreams {
 				if u.Domain() == "east" && u.LastOpening().After(from) {
 					s.t.Errorf("upstream %s of a failure domain that is out got a new flow", u.Name())
 				}
 			}
 			s.Store.RestoreDomain("east")
-			time.Sleep(changeBy)
-			s.await(calm, "new flows in the domain that is back", func() bool { return s.upstreams[0].LastOpening().After(from) })
+			time.Sleep(changeLimit)
+			s.await(steadyTime, "new flows in the domain that is back", func() bool { return s.upstreams[0].LastOpening().After(from) })
 		},
-		"a configuration that nobody understands": func(s *scene) {
+		"a configuration that nobody understands": func(s *system) {
 			s.Store.Corrupt()
-			time.Sleep(changeBy)
+			time.Sleep(changeLimit)
 		},
-		"all other routes come and go": func(s *scene) {
-			s.Store.Configure(2, feed, order, photo, stand.Route{Name: "new", Address: newAddress, Service: "desk"})
-			time.Sleep(changeBy)
-			f, err := s.Callers[0].Open(s.ctx, newAddress)
+		"all other routes come and go": func(s *system) {
+			s.Store.Configure(2, feed, order, photo, stand.Route{Name: "new", Address: extraAddress, Service: "desk"})
+			time.Sleep(changeLimit)
+			f, err := s.Callers[0].Open(s.ctx, extraAddress)
 			s.check(err)
 			f.Close()
 			s.Store.Configure(5, feed, order, photo)
-			time.Sleep(changeBy)
-			if _, err := s.Callers[0].Open(s.ctx, newAddress); err == nil {
+			time.Sleep(changeLimit)
+			if _, err := s.Callers[0].Open(s.ctx, extraAddress); err == nil {
 				s.t.Error("a route that is removed is still served")
 			}
 		},
@@ -103,11 +103,11 @@
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newScene(t)
-			time.Sleep(calm)
+			s := newSystem(t)
+			time.Sleep(steadyTime)
 			change(s)
 			s.checkServed()
-			s.checkPromises()
+			s.checkInvariants()
 		})
 	}
 }
@@ -115,61 +115,61 @@
 // TestFaults checks that faults pass over soon, and that nothing untrue is said meanwhile.
 func TestFaults(t *testing.T) {
 	cases := map[string]struct {
-		fault func(*scene)
+		fault func(*system)
 		// settle is how long requests may fail after the fault.
 		settle time.Duration
-		after  func(*scene)
+		after  func(*system)
 	}{
 		"an instance is killed": {
-			fault:  func(s *scene) { s.killAndStart(s.Processes[0]) },
+			fault:  func(s *system) { s.killAndStart(s.Processes[0]) },
 			settle: 2 * time.Second,
 		},
 		"all instances are killed": {
-			fault: func(s *scene) {
+			fault: func(s *system) {
 				for _, p := range s.Processes {
 					s.killAndStart(p)
 				}
 			},
-			settle: changeBy,
+			settle: changeLimit,
 		},
 		"an upstream falls silent": {
-			fault:  func(s *scene) { s.check(s.upstreams[0].SetUnresponsive(true)) },
+			fault:  func(s *system) { s.check(s.upstreams[0].SetUnresponsive(true)) },
 			settle: time.Second,
 		},
-		"the store turns everybody away": {fault: func(s *scene) { s.Store.SetOutage(stand.OutageUnavailable) }},
-		"the store's rate is spent":      {fault: func(s *scene) { s.Store.SetOutage(stand.OutageRateLimited) }},
-		"the store goes silent":          {fault: func(s *scene) { s.Store.SetOutage(stand.OutageHang) }},
-		"the store resets connections":   {fault: func(s *scene) { s.Store.SetOutage(stand.OutageReset) }},
-		"the store is slow":              {fault: func(s *scene) { s.Store.SetDelay(300 * time.Millisecond) }},
+		"the store turns everybody away": {fault: func(s *system) { s.Store.SetOutage(stand.OutageUnavailable) }},
+		"the store's rate is spent":      {fault: func(s *system) { s.Store.SetOutage(stand.OutageRateLimited) }},
+		"the store goes silent":          {fault: func(s *system) { s.Store.SetOutage(stand.OutageHang) }},
+		"the store resets connections":   {fault: func(s *system) { s.Store.SetOutage(stand.OutageReset) }},
+		"the store is slow":              {fault: func(s *system) { s.Store.SetDelay(300 * time.Millisecond) }},
 		"the store keeps changes to itself and forgets them, and an upstream drains": {
-			fault: func(s *scene) {
+			fault: func(s *system) {
 				s.Store.StallWatches(true)
 				s.upstreams[0].Drain()
 				time.Sleep(time.Second)
 				s.Store.DropHistory()
 				s.Store.StallWatches(false)
 			},
-			settle: changeBy - time.Second,
-			after: func(s *scene) {
+			settle: changeLimit - time.Second,
+			after: func(s *system) {
 				from := time.Now()
-				time.Sleep(calm)
+				time.Sleep(steadyTime)
 				if s.upstreams[0].LastOpening().After(from) {
 					s.t.Error("a leaving upstream still gets new flows")
 				}
 			},
 		},
 		"an instance starts while the store is away": {
-			fault: func(s *scene) {
+			fault: func(s *system) {
 				s.Store.SetOutage(stand.OutageHang)
 				s.stopAndStart(s.Processes[2])
 			},
 			settle: 2 * time.Second,
-			after: func(s *scene) {
-				s.await(startLimit, "an instance that started without the store is ready", s.Processes[2].Ready)
+			after: func(s *system) {
+				s.await(startTimeout, "an instance that started without the store is ready", s.Processes[2].Ready)
 			},
 		},
 		"entries lapse while the store is away": {
-			fault: func(s *scene) {
+			fault: func(s *system) {
 				s.Store.SetOutage(stand.OutageUnavailable)
 				time.Sleep(2 * time.Second)
 				for _, u := range s.upstreams {
@@ -183,16 +183,16 @@
 			},
 		},
 		"the instance that reads for its domain is killed, then an upstream drains": {
-			fault: func(s *scene) {
+			fault: func(s *system) {
 				for _, p := range s.Processes[:2] {
 					s.killAndStart(p)
 				}
 				s.upstreams[1].Drain()
 			},
-			settle: changeBy,
-			after: func(s *scene) {
+			settle: changeLimit,
+			after: func(s *system) {
 				from := time.Now()
-				time.Sleep(calm)
+				time.Sleep(steadyTime)
 				if s.upstreams[1].LastOpening().After(from) {
 					s.t.Error("a leaving upstream still gets new flows")
 				}
@@ -202,31 +202,31 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newScene(t)
-			time.Sleep(calm)
+			s := newSystem(t)
+			time.Sleep(steadyTime)
 			tc.fault(s)
 			time.Sleep(tc.settle)
 			s.load.ResetCounts()
 			if tc.after != nil {
 				tc.after(s)
 			}
-			time.Sleep(calm)
+			time.Sleep(steadyTime)
 			s.checkServed()
-			s.checkPromises()
+			s.checkInvariants()
 		})
 	}
 }
 
-// TestReport checks what operators are shown of an instance: by its report, by the command that prints it, and as metrics.
-func TestReport(t *testing.T) {
+// TestStatusReport checks what operators are shown of an instance: by its report, by the command that prints it, and as metrics.
+func TestStatusReport(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	s := newScene(t)
+	s := newSystem(t)
 	s.Store.EvacuateDomain("west")
 	s.Store.CorruptUpstreams()
 	p := s.Processes[0]
 	var w status.WireRelayReport
-	s.await(startLimit, "the instance has a number and knows what is out", func() bool {
+	s.await(startTimeout, "the instance has a number and knows what is out", func() bool {
 		var err error
 		w, err = status.FetchRelay(s.ctx, p.MetricsAddress())
 		return err == nil && w.OrdinalCount > 0 && len(w.DomainsOut) == 1
@@ -236,7 +236,7 @@
 	is.Equal(w.Routes, 3)
 	is.Equal(len(w.Upstreams), len(s.upstreams))
 	is.Equal(len(w.Unreadable), 2)
-	is.True(w.AgeMs < changeBy.Milliseconds())
+	is.True(w.AgeMs < changeLimit.Milliseconds())
 	out, err := exec.Command(binary, "status", "-relay", p.MetricsAddress()).CombinedOutput()
 	is.NoErr(err)
 	for _, text := range []string{"failure domains out: [west]", s.upstreams[0].Name(), "claims"} {
@@ -252,8 +252,8 @@
 	}
 }
 
-// TestCheck checks what the command that checks files says of those of the platform.
-func TestCheck(t *testing.T) {
+// TestCheckCommand checks what the command that checks files says of those of the platform.
+func TestCheckCommand(t *testing.T) {
 	good := string(stand.Settings{Name: "a", Domain: "east", Packets: feedAddress, Ready: feedAddress, Control: feedAddress, Store: feedAddress}.TOML())
 	routes := `{"version":7,"routes":[{"name":"a","hostname":"198.18.0.1","path-prefix":"/443/","route-type":"safe","service":"desk"}],"services":[]}`
 	cases := map[string]struct {
@@ -277,8 +277,8 @@
 	}
 }
 
-// TestSettings checks that bad settings end the program with a line that names the field.
-func TestSettings(t *testing.T) {
+// TestInvalidSettings checks that bad settings end the program with a line that names the field.
+func TestInvalidSettings(t *testing.T) {
 	good := string(stand.Settings{Name: "a", Domain: "east", Packets: feedAddress, Ready: feedAddress, Control: feedAddress, Store: feedAddress}.TOML())
 	cases := map[string]struct {
 		text string
--- a/internal/proof/direct/harness_test.go
+++ b/internal/proof/direct/harness_test.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	startLimit = 15 * time.Second
-	// changeBy is the users' bound for every change.
-	changeBy = 3 * time.Second
-	// stopWithin is the users' grace, after which a process would be killed.
-	stopWithin = 6 * time.Second
-	// deadline and work are those of the users' smaller requests.
-	deadline = 2500 * time.Millisecond
-	work     = 20 * time.Millisecond
+	startTimeout = 15 * time.Second
+	// changeLimit is the users' bound for every change.
+	changeLimit = 3 * time.Second
+	// stopLimit is the users' grace, after which a process would be killed.
+	stopLimit = 6 * time.Second
+	// requestTimeout and work are those of the users' smaller requests.
+	requestTimeout = 2500 * time.Millisecond
+	requestTime    = 20 * time.Millisecond
 	// thinkTime is a caller's pause between two requests.
-	thinkTime = 30 * time.Millisecond
-	loops     = 6
+	thinkTime   = 30 * time.Millisecond
+	concurrency = 6
 	// firstSubnet is the second byte of the first stage's loopback addresses.
 	firstSubnet = 40
 )
@@ -39,7 +39,7 @@
 	feedAddress  = netip.MustParseAddrPort("198.18.0.1:443")
 	orderAddress = netip.MustParseAddrPort("198.18.0.1:444")
 	photoAddress = netip.MustParseAddrPort("198.18.0.2:443")
-	newAddress   = netip.MustParseAddrPort("198.18.0.3:443")
+	extraAddress = netip.MustParseAddrPort("198.18.0.3:443")
 
 	feed  = stand.Route{Name: "feed", Address: feedAddress, Idempotent: true, Service: "desk"}
 	order = stand.Route{Name: "order", Address: orderAddress, Service: "desk"}
@@ -59,8 +59,8 @@
 	os.Exit(code)
 }
 
-// scene is a stage with its load.
-type scene struct {
+// system is a stage with its load.
+type system struct {
 	*stage.Environment
 	t         *testing.T
 	ctx       context.Context
@@ -68,20 +68,20 @@
 	load      *crowd.Generator
 }
 
-// newScene starts two instances and three upstreams in each of two failure domains, and callers.
-func newScene(t *testing.T) *scene {
+// newSystem starts two instances and three upstreams in each of two failure domains, and callers.
+func newSystem(t *testing.T) *system {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &scene{t: t, ctx: ctx}
+	s := &system{t: t, ctx: ctx}
 	var err error
 	s.Environment, err = stage.New(ctx, stage.Config{
 		Binary: binary, Dir: t.TempDir(), Subnet: firstSubnet + int(subnets.Add(1)), Domains: []string{"east", "west"}, Instances: 4,
-		Services: []string{"desk", "desk", "desk", "desk", "claims", "claims"}, Routes: []stand.Route{feed, order, photo}, RequestTime: work, MaxStaleness: changeBy,
+		Services: []string{"desk", "desk", "desk", "desk", "claims", "claims"}, Routes: []stand.Route{feed, order, photo}, RequestTime: requestTime, MaxStaleness: changeLimit,
 	})
 	s.check(err)
 	s.upstreams = s.Upstreams()
 	s.load = crowd.Start(ctx, crowd.Config{
-		Callers: s.Callers, Concurrency: loops, Deadline: deadline, ThinkTime: thinkTime,
+		Callers: s.Callers, Concurrency: concurrency, Deadline: requestTimeout, ThinkTime: thinkTime,
 		Workloads: []crowd.Workload{
 			{Name: "feed", Address: feedAddress, Service: "desk", Idempotent: true},
 			{Name: "desk", Address: orderAddress, Service: "desk"},
@@ -101,45 +101,45 @@
 	return s
 }
 
-func (s *scene) check(err error) {
+func (s *system) check(err error) {
 	s.t.Helper()
 	if err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-func (s *scene) await(limit time.Duration, what string, is func() bool) {
+func (s *system) await(timeout time.Duration, what string, condition func() bool) {
 	s.t.Helper()
-	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if is() {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	s.t.Fatalf("%s: not within %s", what, limit)
+	s.t.Fatalf("%s: not within %s", what, timeout)
 }
 
 // checkServed checks that every request since the last reset of counts was served.
-func (s *scene) checkServed() {
+func (s *system) checkServed() {
 	s.t.Helper()
 	if c := s.load.Counts(); c.Failed > 0 || c.BrokenFlows > 0 || c.Served == 0 {
 		s.t.Errorf("%d served, %d failed, %d flows broken", c.Served, c.Failed, c.BrokenFlows)
 	}
 }
 
-// checkPromises checks what must hold in every run: nothing runs twice, nothing crosses services, no packet is changed.
-func (s *scene) checkPromises() {
+// checkInvariants checks what must hold in every run: nothing runs twice, nothing crosses services, no packet is changed.
+func (s *system) checkInvariants() {
 	s.t.Helper()
 	s.load.Stop()
-	ran := map[string]int{}
+	executions := map[string]int{}
 	for _, u := range s.upstreams {
 		for _, fault := range u.Violations() {
 			s.t.Errorf("upstream %s: %s", u.Name(), fault)
 		}
 		for id, n := range u.Executions() {
-			ran[id] += n
+			executions[id] += n
 		}
 	}
-	for id, n := range ran {
+	for id, n := range executions {
 		if n > 1 {
 			s.t.Errorf("%s ran %d times", id, n)
 		}
@@ -160,9 +160,9 @@
 }
 
 // stopAndStart ends an instance by its planned stop and starts it again.
-func (s *scene) stopAndStart(p *stage.Process) {
+func (s *system) stopAndStart(p *stage.Process) {
 	s.t.Helper()
-	code, err := p.Stop(stopWithin)
+	code, err := p.Stop(stopLimit)
 	s.check(err)
 	if code != 0 {
 		s.t.Errorf("a planned stop ends with code %d", code)
@@ -171,7 +171,7 @@
 }
 
 // killAndStart kills an instance and starts it again.
-func (s *scene) killAndStart(p *stage.Process) {
+func (s *system) killAndStart(p *stage.Process) {
 	s.t.Helper()
 	p.Kill()
 	s.check(p.Start())
--- a/internal/proof/soak/checks_test.go
+++ b/internal/proof/soak/checks_test.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// probeGap is the pause between two flows that go to one instance alone.
-	probeGap = 50 * time.Millisecond
-	// restartKnownBy is when instances know that an upstream has restarted under its name. Until the registry says so, only an instance that
+	// probeInterval is the pause between two flows that go to one instance alone.
+	probeInterval = 50 * time.Millisecond
+	// restartDetectionLimit is when instances know that an upstream has restarted under its name. Until the registry says so, only an instance that
 	// missed an answer meanwhile can tell: in seed 16 one placed its next flow after 431 ms, when the upstream was back.
-	restartKnownBy = 1200 * time.Millisecond
-	// settleTime is how long an answer that is on its way may take to arrive.
-	settleTime = 200 * time.Millisecond
+	restartDetectionLimit = 1200 * time.Millisecond
+	// deliveryTime is how long an answer that is on its way may take to arrive.
+	deliveryTime = 200 * time.Millisecond
 )
 
-// facts are what the store had acknowledged, with the instant of each acknowledgement.
-type facts struct {
-	// draining holds the instant at which each upstream said that it would leave, or its entry went, by name.
-	draining map[string]time.Time
-	// out holds the times in which each failure domain was out.
-	out map[string][]*span
+// changeTimes are what the store had acknowledged, with the instant of each acknowledgement.
+type changeTimes struct {
+	// drained holds the instant at which each upstream said that it would leave, or its entry went, by name.
+	drained map[string]time.Time
+	// evacuations holds the times in which each failure domain was out.
+	evacuations map[string][]*interval
 	// added and removed hold the instants at which routes came and went, by address.
 	added, removed map[netip.AddrPort]time.Time
 }
 
-func newFacts() facts {
-	return facts{draining: map[string]time.Time{}, out: map[string][]*span{}, added: map[netip.AddrPort]time.Time{}, removed: map[netip.AddrPort]time.Time{}}
+func newChangeTimes() changeTimes {
+	return changeTimes{drained: map[string]time.Time{}, evacuations: map[string][]*interval{}, added: map[netip.AddrPort]time.Time{}, removed: map[netip.AddrPort]time.Time{}}
 }
 
 // probe is one flow that was opened through one instance to see which routes it knows.
@@ -53,8 +53,8 @@
 // probeRoutes opens flows through single instances to the routes that come and go.
 func (r *run) probeRoutes(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		time.Sleep(probeGap)
-		at, ok := r.anyRoute(rng)
+		time.Sleep(probeInterval)
+		addr, ok := r.randomRoute(rng)
 		if !ok {
 			continue
 		}
@@ -62,54 +62,54 @@
 		if !p.Running() || !p.Ready() {
 			continue
 		}
-		seen := probe{instance: p.Settings.Name, pid: p.PID(), address: at, at: time.Now()}
-		f, err := r.Callers[0].OpenVia(ctx, at, p.Settings.Packets)
+		result := probe{instance: p.Settings.Name, pid: p.PID(), address: addr, at: time.Now()}
+		f, err := r.Callers[0].OpenVia(ctx, addr, p.Settings.Packets)
 		var reset *stand.ResetError
 		switch {
 		case err == nil:
-			seen.opened = true
+			result.opened = true
 			f.Close()
 		case errors.As(err, &reset) && reset.By.IsValid():
-			seen.refused = true
+			result.refused = true
 		}
 		r.mu.Lock()
-		r.probes = append(r.probes, seen)
+		r.probes = append(r.probes, result)
 		r.mu.Unlock()
 	}
 }
 
-func (r *run) anyRoute(rng *rand.Rand) (at netip.AddrPort, ok bool) {
+func (r *run) randomRoute(rng *rand.Rand) (addr netip.AddrPort, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := rng.IntN(max(len(r.facts.added), 1))
-	for a := range r.facts.added {
+	n := rng.IntN(max(len(r.changes.added), 1))
+	for a := range r.changes.added {
 		if n--; n < 0 {
 			return a, true
 		}
 	}
-	return at, false
+	return addr, false
 }
 
 // checkReset checks at once that an open flow was not reset while its upstream lives unharmed.
 func (r *run) checkReset(e *stand.ResetError) {
 	now := time.Now()
 	for _, u := range r.Upstreams() {
-		if !u.HasFlow(e.Flow) || !r.ledger.calm(u.Name(), now.Add(-stabilityWindow), now) {
+		if !u.HasFlow(e.Flow) || !r.faultLog.undisturbed(u.Name(), now.Add(-stabilityWindow), now) {
 			continue
 		}
-		by := r.instanceAt(e.By)
-		if by != "" && r.ledger.inTouch(by, now) {
-			r.violate("%s reset flow %s, which is open at %s", by, e.Flow.Caller, u.Name())
+		sender := r.instanceAt(e.By)
+		if sender != "" && r.faultLog.boundsApply(sender, now) {
+			r.addViolation("%s reset flow %s, which is open at %s", sender, e.Flow.Caller, u.Name())
 		}
-		if by == "" && r.allInTouch(now) {
-			r.violate("flow %s, which is open at %s, was reset by another upstream", e.Flow.Caller, u.Name())
+		if sender == "" && r.boundsApplyToAll(now) {
+			r.addViolation("flow %s, which is open at %s, was reset by another upstream", e.Flow.Caller, u.Name())
 		}
 	}
 }
 
-func (r *run) allInTouch(at time.Time) bool {
+func (r *run) boundsApplyToAll(at time.Time) bool {
 	for _, p := range r.Processes {
-		if !r.ledger.inTouch(p.Settings.Name, at) {
+		if !r.faultLog.boundsApply(p.Settings.Name, at) {
 			return false
 		}
 	}
@@ -128,15 +128,15 @@
 
 // checkRecovery checks that everything is served once all faults are over.
 func (r *run) checkRecovery() {
-	time.Sleep(recoverBy)
+	time.Sleep(recoveryTime)
 	r.load.ResetCounts()
-	time.Sleep(calmTime)
+	time.Sleep(steadyTime)
 	if c := r.load.Counts(); c.Failed > 0 || c.BrokenFlows > 0 || c.Served == 0 {
-		r.violate("after recovery %d served, %d failed, %d flows broken", c.Served, c.Failed, c.BrokenFlows)
+		r.addViolation("after recovery %d served, %d failed, %d flows broken", c.Served, c.Failed, c.BrokenFlows)
 	}
 	for _, p := range r.Processes {
-		if kb := peakMemory(p); p.Running() && kb > memoryLimit {
-			r.violate("%s has held %d KB", p.Settings.Name, kb)
+		if kb := peakMemory(p); p.Running() && kb > memoryLimitKB {
+			r.addViolation("%s has held %d KB", p.Settings.Name, kb)
 		}
 	}
 }
@@ -158,47 +158,47 @@
 
 // checkAll checks what was recorded.
 func (r *run) checkAll() {
-	time.Sleep(settleTime)
-	r.checkRuns()
+	time.Sleep(deliveryTime)
+	r.checkExecutions()
 	for _, u := range r.Upstreams() {
-		r.checkLeaving(u)
-		r.checkOut(u)
-		r.checkCold(u)
+		r.checkDrained(u)
+		r.checkEvacuated(u)
+		r.checkColdStart(u)
 	}
 	r.checkRoutes()
-	r.checkRegress()
+	r.checkNoRollback()
 	for _, p := range r.Processes {
 		for _, err := range p.UnexpectedExits() {
-			r.violate("%v", err)
+			r.addViolation("%v", err)
 		}
 	}
 }
 
-// checkRuns checks that nothing ran twice, crossed services or was changed.
-func (r *run) checkRuns() {
-	ran := map[string]int{}
+// checkExecutions checks that nothing ran twice, crossed services or was changed.
+func (r *run) checkExecutions() {
+	executions := map[string]int{}
 	for _, u := range r.Upstreams() {
 		for _, fault := range u.Violations() {
-			r.violate("%s: %s", u.Name(), fault)
+			r.addViolation("%s: %s", u.Name(), fault)
 		}
 		for id, n := range u.Executions() {
-			ran[id] += n
+			executions[id] += n
 			if service := serviceOf(id); service != u.Service() {
-				r.violate("%s ran %s, which is for %s", u.Name(), id, service)
+				r.addViolation("%s ran %s, which is for %s", u.Name(), id, service)
 			}
 		}
 	}
-	for id, n := range ran {
+	for id, n := range executions {
 		if n > 1 {
-			r.violate("%s ran %d times", id, n)
+			r.addViolation("%s ran %d times", id, n)
 		}
 	}
 	for _, fault := range r.load.WrongResponses() {
-		r.violate("%s", fault)
+		r.addViolation("%s", fault)
 	}
 	for _, c := range r.Callers {
 		if n := c.CorruptPackets(); n > 0 {
-			r.violate("%d packets reached callers changed", n)
+			r.addViolation("%d packets reached callers changed", n)
 		}
 	}
 }
@@ -210,106 +210,106 @@
 	return "desk"
 }
 
-// checkLeaving checks that an upstream that leaves gets no new flow after the bound.
-func (r *run) checkLeaving(u *stand.Upstream) {
-	since, leaving := r.facts.draining[u.Name()]
-	if !leaving {
+// checkDrained checks that an upstream that leaves gets no new flow after the bound.
+func (r *run) checkDrained(u *stand.Upstream) {
+	since, drained := r.changes.drained[u.Name()]
+	if !drained {
 		return
 	}
 	for _, o := range u.Openings() {
-		by := r.instanceAt(o.From)
-		if o.At.Sub(since) > drainBy && r.ledger.inTouch(by, o.At) {
-			r.violate("at %s %s sent flow %s to %s, which said %s before that it leaves", r.clock(o.At), by, o.Flow.Caller, u.Name(), o.At.Sub(since))
+		sender := r.instanceAt(o.From)
+		if o.At.Sub(since) > drainLimit && r.faultLog.boundsApply(sender, o.At) {
+			r.addViolation("at %s %s sent flow %s to %s, which said %s before that it leaves", r.timestamp(o.At), sender, o.Flow.Caller, u.Name(), o.At.Sub(since))
 		}
 	}
 }
 
-// checkOut checks that a failure domain that is out gets no new flow after the bound.
-func (r *run) checkOut(u *stand.Upstream) {
-	for _, s := range r.facts.out[u.Domain()] {
+// checkEvacuated checks that a failure domain that is out gets no new flow after the bound.
+func (r *run) checkEvacuated(u *stand.Upstream) {
+	for _, out := range r.changes.evacuations[u.Domain()] {
 		for _, o := range u.Openings() {
-			by := r.instanceAt(o.From)
-			if o.At.Sub(s.from) > evacuateBy && (s.to.IsZero() || o.At.Before(s.to)) && r.ledger.inTouch(by, o.At) {
-				r.violate("at %s %s sent flow %s to %s, whose domain was out for %s", r.clock(o.At), by, o.Flow.Caller, u.Name(), o.At.Sub(s.from))
+			sender := r.instanceAt(o.From)
+			if o.At.Sub(out.start) > evacuationLimit && (out.end.IsZero() || o.At.Before(out.end)) && r.faultLog.boundsApply(sender, o.At) {
+				r.addViolation("at %s %s sent flow %s to %s, whose domain was out for %s", r.timestamp(o.At), sender, o.Flow.Caller, u.Name(), o.At.Sub(out.start))
 			}
 		}
 	}
 }
 
-// checkCold checks that a cold upstream gets no more flows in any second than it bears.
-func (r *run) checkCold(u *stand.Upstream) {
-	lives, opened := u.Runs(), u.Openings()
-	for n, life := range lives {
-		if n == 0 && life.Started.Before(r.began.Add(coldFor)) {
+// checkColdStart checks that a cold upstream gets no more flows in any second than it bears.
+func (r *run) checkColdStart(u *stand.Upstream) {
+	runs, openings := u.Runs(), u.Openings()
+	for n, current := range runs {
+		if n == 0 && current.Started.Before(r.started.Add(coldStartTime)) {
 			// It started before the traffic.
 			continue
 		}
-		down := time.Duration(0)
+		downtime := time.Duration(0)
 		if n > 0 {
-			down = life.Started.Sub(lives[n-1].Stopped)
+			downtime = current.Started.Sub(runs[n-1].Stopped)
 		}
-		var cold []stand.Opening
-		for _, o := range opened {
+		var coldOpenings []stand.Opening
+		for _, o := range openings {
 			// Who cannot read the registry cannot tell a restart under the same name, see restartKnownBy.
-			known := n == 0 || (o.At.Sub(life.Started) > restartKnownBy && r.ledger.inTouch(r.instanceAt(o.From), o.At))
-			if known && o.At.After(life.Started) && o.At.Before(life.WarmAt) {
-				cold = append(cold, o)
+			detected := n == 0 || (o.At.Sub(current.Started) > restartDetectionLimit && r.faultLog.boundsApply(r.instanceAt(o.From), o.At))
+			if detected && o.At.After(current.Started) && o.At.Before(current.WarmAt) {
+				coldOpenings = append(coldOpenings, o)
 			}
 		}
-		for i := coldRate; i < len(cold); i++ {
-			if cold[i].At.Sub(cold[i-coldRate].At) < time.Second {
-				r.violate("at %s %s got %d flows in a second, %s after its start that followed %s of silence: %s",
-					r.clock(cold[i].At), u.Name(), coldRate+1, cold[i].At.Sub(life.Started), down, r.senders(cold[i-coldRate:i+1]))
+		for i := coldFlowLimit; i < len(coldOpenings); i++ {
+			if coldOpenings[i].At.Sub(coldOpenings[i-coldFlowLimit].At) < time.Second {
+				r.addViolation("at %s %s got %d flows in a second, %s after its start that followed %s of silence: %s",
+					r.timestamp(coldOpenings[i].At), u.Name(), coldFlowLimit+1, coldOpenings[i].At.Sub(current.Started), downtime, r.describeSenders(coldOpenings[i-coldFlowLimit:i+1]))
 				break
 			}
 		}
 	}
 }
 
-// senders tells who sent opening packets, and whether they were in touch.
-func (r *run) senders(list []stand.Opening) string {
-	var by []string
-	for _, o := range list {
+// describeSenders tells who sent opening packets, and whether they were in touch.
+func (r *run) describeSenders(openings []stand.Opening) string {
+	var senders []string
+	for _, o := range openings {
 		name := r.instanceAt(o.From)
-		by = append(by, fmt.Sprintf("%s at %s (in touch: %v)", name, r.clock(o.At), r.ledger.inTouch(name, o.At)))
+		senders = append(senders, fmt.Sprintf("%s at %s (in touch: %v)", name, r.timestamp(o.At), r.faultLog.boundsApply(name, o.At)))
 	}
-	return strings.Join(by, ", ")
+	return strings.Join(senders, ", ")
 }
 
 // checkRoutes checks that routes are served and refused as the configuration says, after the bound.
 func (r *run) checkRoutes() {
 	for _, p := range r.probes {
-		added, removed := r.facts.added[p.address], r.facts.removed[p.address]
-		gone := !removed.IsZero() && p.at.Sub(removed) > applyBy
-		there := p.at.Sub(added) > applyBy && (removed.IsZero() || p.at.Add(settleTime).Before(removed))
+		added, removed := r.changes.added[p.address], r.changes.removed[p.address]
+		mustRefuse := !removed.IsZero() && p.at.Sub(removed) > applyLimit
+		mustServe := p.at.Sub(added) > applyLimit && (removed.IsZero() || p.at.Add(deliveryTime).Before(removed))
 		switch {
-		case !r.ledger.inTouch(p.instance, p.at.Add(settleTime)):
-		case gone && p.opened:
-			r.violate("at %s %s opens a flow to %s, which was removed %s before", r.clock(p.at), p.instance, p.address, p.at.Sub(removed))
-		case there && p.refused && r.script.servable(p.at):
-			r.violate("at %s %s refuses %s, which was added %s before", r.clock(p.at), p.instance, p.address, p.at.Sub(added))
+		case !r.faultLog.boundsApply(p.instance, p.at.Add(deliveryTime)):
+		case mustRefuse && p.opened:
+			r.addViolation("at %s %s opens a flow to %s, which was removed %s before", r.timestamp(p.at), p.instance, p.address, p.at.Sub(removed))
+		case mustServe && p.refused && r.injector.deskAvailable(p.at):
+			r.addViolation("at %s %s refuses %s, which was added %s before", r.timestamp(p.at), p.instance, p.address, p.at.Sub(added))
 		}
 	}
 }
 
-// checkRegress checks that no start of an instance goes back to an older configuration.
-func (r *run) checkRegress() {
-	for i, old := range r.probes {
-		for _, p := range r.probes[i+1:] {
-			if p.instance != old.instance || p.pid != old.pid || p.address != old.address {
+// checkNoRollback checks that no start of an instance goes back to an older configuration.
+func (r *run) checkNoRollback() {
+	for i, earlier := range r.probes {
+		for _, later := range r.probes[i+1:] {
+			if later.instance != earlier.instance || later.pid != earlier.pid || later.address != earlier.address {
 				continue
 			}
 			slack := rollbackSlack
-			if !r.ledger.calm(p.instance, old.at, p.at) {
-				slack = slowedSlack
+			if !r.faultLog.undisturbed(later.instance, earlier.at, later.at) {
+				slack = disturbedRollbackSlack
 			}
-			removed := r.facts.removed[p.address]
-			there := removed.IsZero() || p.at.Add(settleTime).Before(removed)
-			if p.at.Sub(old.at) > slack && old.opened && p.refused && there && r.script.servable(p.at) {
-				r.violate("at %s %s refuses %s, which it served %s before", r.clock(p.at), p.instance, p.address, p.at.Sub(old.at))
+			removed := r.changes.removed[later.address]
+			exists := removed.IsZero() || later.at.Add(deliveryTime).Before(removed)
+			if later.at.Sub(earlier.at) > slack && earlier.opened && later.refused && exists && r.injector.deskAvailable(later.at) {
+				r.addViolation("at %s %s refuses %s, which it served %s before", r.timestamp(later.at), later.instance, later.address, later.at.Sub(earlier.at))
 			}
-			if p.at.Sub(old.at) > slack && old.refused && p.opened && !removed.IsZero() && old.at.After(removed) && r.script.servable(old.at) {
-				r.violate("at %s %s opens a flow to %s, which it refused %s before", r.clock(p.at), p.instance, p.address, p.at.Sub(old.at))
+			if later.at.Sub(earlier.at) > slack && earlier.refused && later.opened && !removed.IsZero() && earlier.at.After(removed) && r.injector.deskAvailable(earlier.at) {
+				r.addViolation("at %s %s opens a flow to %s, which it refused %s before", r.timestamp(later.at), later.instance, later.address, later.at.Sub(earlier.at))
 			}
 		}
 	}
--- a/internal/proof/soak/script_test.go
+++ b/internal/proof/soak/script_test.go
@@ -12,41 +12,41 @@
 	"hawthorncourse/platform/stand"
 )
 
-// script is the series of faults of one seed. What happens, and when, follows from the seed alone; what it meets does not.
-type script struct {
+// injector is the series of faults of one seed. What happens, and when, follows from the seed alone; what it meets does not.
+type injector struct {
 	*run
 	rng *rand.Rand
 	wg  sync.WaitGroup
-	// count is how many faults began.
-	count int
-	// lives keeps two faults from ending and starting the same process at once.
-	lives map[*stage.Process]*sync.Mutex
+	// faultCount is how many faults began.
+	faultCount int
+	// processLocks keeps two faults from ending and starting the same process at once.
+	processLocks map[*stage.Process]*sync.Mutex
 
 	mu sync.Mutex
 	// All below is guarded by mu.
 	// fated holds the upstreams that something was decided for already.
-	fated map[*stand.Upstream]bool
-	// upstreams is the number of the last upstream.
-	upstreams uint64
+	reserved map[*stand.Upstream]bool
+	// lastUpstream is the number of the last upstream.
+	lastUpstream uint64
 	// version is that of the last configuration, and extra holds the routes that it has beside the first ones.
-	version uint64
-	extra   []stand.Route
-	made    int
+	version     uint64
+	extraRoutes []stand.Route
+	routesMade  int
 }
 
-func newScript(r *run, rng *rand.Rand) *script {
-	s := &script{
-		run: r, rng: rng, lives: map[*stage.Process]*sync.Mutex{}, fated: map[*stand.Upstream]bool{},
-		upstreams: uint64(len(services)), version: 1,
+func newInjector(r *run, rng *rand.Rand) *injector {
+	inj := &injector{
+		run: r, rng: rng, processLocks: map[*stage.Process]*sync.Mutex{}, reserved: map[*stand.Upstream]bool{},
+		lastUpstream: uint64(len(services)), version: 1,
 	}
 	for _, p := range r.Processes {
-		s.lives[p] = &sync.Mutex{}
+		inj.processLocks[p] = &sync.Mutex{}
 	}
-	return s
+	return inj
 }
 
 // fault is one kind of trouble or planned work; it returns when it is over.
-type fault func(s *script, d draw)
+type fault func(s *injector, d draw)
 
 // draw is what the seed decides for one fault.
 type draw struct {
@@ -55,154 +55,154 @@
 	domain                   string
 	// short is from 0.1 to 1 s, and long from 0.5 to 6 s.
 	short, long time.Duration
-	// coin decides between two variants, and many among more.
-	coin bool
-	many int
+	// variant decides between two variants, and many among more.
+	variant bool
+	choice  int
 }
 
 // faults holds every kind, by name.
 var faults = map[string]fault{
-	"kill":           (*script).kill,
-	"kill some":      (*script).killSome,
-	"stop":           (*script).stop,
-	"pause":          (*script).pause,
-	"reload":         (*script).reload,
-	"cut domain":     (*script).cutDomain,
-	"cut instance":   (*script).cutInstance,
-	"cut one way":    (*script).cutOneWay,
-	"delay":          (*script).delayLinks,
-	"reset links":    (*script).resetLinks,
-	"lossy":          (*script).lossy,
-	"door down":      (*script).doorDown,
-	"door mute":      (*script).doorMute,
-	"door slow":      (*script).doorSlow,
-	"store down":     (*script).storeDown,
-	"store lapses":   (*script).storeLapses,
-	"store slow":     (*script).storeSlow,
-	"answers lost":   (*script).answersLost,
-	"history gone":   (*script).historyGone,
-	"drain":          (*script).drain,
-	"crash":          (*script).crash,
-	"replace":        (*script).replace,
-	"silent":         (*script).silent,
-	"slow":           (*script).slow,
-	"scale out":      (*script).scaleOut,
-	"change routes":  (*script).changeRoutes,
-	"storm":          (*script).storm,
-	"evacuate":       (*script).evacuate,
-	"unreadable":     (*script).unreadable,
-	"drain and kill": (*script).drainAndKill,
+	"kill":           (*injector).kill,
+	"kill some":      (*injector).killSeveral,
+	"stop":           (*injector).stop,
+	"pause":          (*injector).pause,
+	"reload":         (*injector).reload,
+	"cut domain":     (*injector).partitionDomain,
+	"cut instance":   (*injector).partitionInstance,
+	"cut one way":    (*injector).blockOneDirection,
+	"delay":          (*injector).delayLinks,
+	"reset links":    (*injector).resetConnections,
+	"lossy":          (*injector).losePackets,
+	"door down":      (*injector).instanceStoreOutage,
+	"door mute":      (*injector).stallStoreConnections,
+	"door slow":      (*injector).delayInstanceStore,
+	"store down":     (*injector).storeOutage,
+	"store lapses":   (*injector).expireEntries,
+	"store slow":     (*injector).delayStore,
+	"answers lost":   (*injector).dropResponses,
+	"history gone":   (*injector).dropHistory,
+	"drain":          (*injector).drain,
+	"crash":          (*injector).crash,
+	"replace":        (*injector).replace,
+	"silent":         (*injector).makeUnresponsive,
+	"slow":           (*injector).slowDown,
+	"scale out":      (*injector).scaleOut,
+	"change routes":  (*injector).changeRoutes,
+	"storm":          (*injector).changeManyRoutes,
+	"evacuate":       (*injector).evacuate,
+	"unreadable":     (*injector).corruptEntries,
+	"drain and kill": (*injector).drainAndKill,
 }
 
-// play begins faults for a time and waits until all are over.
-func (s *script) play(length time.Duration) {
+// injectFaults begins faults for a time and waits until all are over.
+func (inj *injector) injectFaults(length time.Duration) {
 	names := slices.Sorted(maps.Keys(faults))
 	for end := time.Now().Add(length); time.Now().Before(end); {
-		name, d := names[s.rng.IntN(len(names))], s.draw()
-		pause := time.Duration(s.rng.ExpFloat64() * float64(eventGap))
-		s.count++
-		s.wg.Go(func() {
-			s.note("%s begins", name)
-			faults[name](s, d)
-			s.note("%s is over", name)
+		name, d := names[inj.rng.IntN(len(names))], inj.nextDraw()
+		pause := time.Duration(inj.rng.ExpFloat64() * float64(meanFaultInterval))
+		inj.faultCount++
+		inj.wg.Go(func() {
+			inj.logEvent("%s begins", name)
+			faults[name](inj, d)
+			inj.logEvent("%s is over", name)
 		})
-		time.Sleep(min(pause, 4*eventGap))
+		time.Sleep(min(pause, 4*meanFaultInterval))
 	}
-	s.wg.Wait()
-	s.note("all faults are over")
+	inj.wg.Wait()
+	inj.logEvent("all faults are over")
 }
 
-func (s *script) draw() draw {
+func (inj *injector) nextDraw() draw {
 	return draw{
-		process: s.rng.IntN(1 << 20), other: s.rng.IntN(1 << 20), upstream: s.rng.IntN(1 << 20), domain: domains[s.rng.IntN(len(domains))],
-		short: time.Duration(100+s.rng.IntN(900)) * time.Millisecond, long: time.Duration(500+s.rng.IntN(5500)) * time.Millisecond,
-		coin: s.rng.IntN(2) == 0, many: s.rng.IntN(1 << 20),
+		process: inj.rng.IntN(1 << 20), other: inj.rng.IntN(1 << 20), upstream: inj.rng.IntN(1 << 20), domain: domains[inj.rng.IntN(len(domains))],
+		short: time.Duration(100+inj.rng.IntN(900)) * time.Millisecond, long: time.Duration(500+inj.rng.IntN(5500)) * time.Millisecond,
+		variant: inj.rng.IntN(2) == 0, choice: inj.rng.IntN(1 << 20),
 	}
 }
 
-func (s *script) process(n int) *stage.Process {
-	return s.Processes[n%len(s.Processes)]
+func (inj *injector) processAt(n int) *stage.Process {
+	return inj.Processes[n%len(inj.Processes)]
 }
 
-// take returns an upstream that nothing was decided for yet, and marks it; nil if too few of its service would be left.
-func (s *script) take(n int) *stand.Upstream {
-	const least = 2
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	free := map[string][]*stand.Upstream{}
-	for _, u := range s.Upstreams() {
-		if !s.fated[u] {
-			free[u.Service()] = append(free[u.Service()], u)
+// reserveUpstream returns an upstream that nothing was decided for yet, and marks it; nil if too few of its service would be left.
+func (inj *injector) reserveUpstream(n int) *stand.Upstream {
+	const minRemaining = 2
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	available := map[string][]*stand.Upstream{}
+	for _, u := range inj.Upstreams() {
+		if !inj.reserved[u] {
+			available[u.Service()] = append(available[u.Service()], u)
 		}
 	}
-	names := slices.Sorted(maps.Keys(free))
-	list := free[names[n%len(names)]]
-	if len(list) <= least {
+	names := slices.Sorted(maps.Keys(available))
+	list := available[names[n%len(names)]]
+	if len(list) <= minRemaining {
 		return nil
 	}
 	u := list[n/len(names)%len(list)]
-	s.fated[u] = true
+	inj.reserved[u] = true
 	return u
 }
 
 // release lets others decide for the upstream again.
-func (s *script) release(u *stand.Upstream) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.fated, u)
+func (inj *injector) release(u *stand.Upstream) {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	delete(inj.reserved, u)
 }
 
-// number returns one for a new upstream.
-func (s *script) number() uint64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.upstreams++
-	return s.upstreams
+// nextUpstreamNumber returns one for a new upstream.
+func (inj *injector) nextUpstreamNumber() uint64 {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	inj.lastUpstream++
+	return inj.lastUpstream
 }
 
-// add starts one more upstream; its address is its own if none is given.
-func (s *script) add(service, domain string, at netip.AddrPort) {
-	if u, err := s.AddUpstream(s.number(), service, domain, at); err != nil {
-		s.violate("upstream does not start: %v", err)
+// startUpstream starts one more upstream; its address is its own if none is given.
+func (inj *injector) startUpstream(service, domain string, addr netip.AddrPort) {
+	if u, err := inj.AddUpstream(inj.nextUpstreamNumber(), service, domain, addr); err != nil {
+		inj.addViolation("upstream does not start: %v", err)
 	} else {
-		s.note("%s of %s starts at %s", u.Name(), service, u.Address())
+		inj.logEvent("%s of %s starts at %s", u.Name(), service, u.Address())
 	}
 }
 
 // configure writes the next configuration; s.mu is held.
-func (s *script) configure() time.Time {
-	s.version += 1 + uint64(s.made%3)
-	s.Store.Configure(s.version, append(slices.Clone(routes), s.extra...)...)
+func (inj *injector) configure() time.Time {
+	inj.version += 1 + uint64(inj.routesMade%3)
+	inj.Store.Configure(inj.version, append(slices.Clone(routes), inj.extraRoutes...)...)
 	return time.Now()
 }
 
-// servable reports whether flows to desk can be placed without doubt around the instant.
-func (s *script) servable(at time.Time) bool {
-	const before, after, least = 6 * time.Second, time.Second, 2
+// deskAvailable reports whether flows to desk can be placed without doubt around the instant.
+func (inj *injector) deskAvailable(at time.Time) bool {
+	const before, after, minUpstreams = 6 * time.Second, time.Second, 2
 	n := 0
-	for _, u := range s.Upstreams() {
-		if u.Service() == "desk" && s.steady(u, at.Add(-before), at.Add(after)) {
+	for _, u := range inj.Upstreams() {
+		if u.Service() == "desk" && inj.available(u, at.Add(-before), at.Add(after)) {
 			n++
 		}
 	}
-	return n >= least
+	return n >= minUpstreams
 }
 
-// steady reports whether an upstream was there, warm and in use between two instants.
-func (s *script) steady(u *stand.Upstream, from, to time.Time) bool {
-	s.run.mu.Lock()
-	defer s.run.mu.Unlock()
-	if since, leaving := s.facts.draining[u.Name()]; leaving && since.Before(to) {
+// available reports whether an upstream was there, warm and in use between two instants.
+func (inj *injector) available(u *stand.Upstream, from, to time.Time) bool {
+	inj.run.mu.Lock()
+	defer inj.run.mu.Unlock()
+	if since, drained := inj.changes.drained[u.Name()]; drained && since.Before(to) {
 		return false
 	}
-	for _, out := range s.facts.out[u.Domain()] {
-		if out.from.Before(to) && (out.to.IsZero() || out.to.After(from)) {
+	for _, out := range inj.changes.evacuations[u.Domain()] {
+		if out.start.Before(to) && (out.end.IsZero() || out.end.After(from)) {
 			return false
 		}
 	}
-	for _, life := range u.Runs() {
-		if life.WarmAt.Before(from) && (life.Stopped.IsZero() || life.Stopped.After(to)) {
-			return s.ledger.calm(u.Name(), from, to)
+	for _, r := range u.Runs() {
+		if r.WarmAt.Before(from) && (r.Stopped.IsZero() || r.Stopped.After(to)) {
+			return inj.faultLog.undisturbed(u.Name(), from, to)
 		}
 	}
 	return false
--- a/internal/proof/soak/soak_test.go
+++ b/internal/proof/soak/soak_test.go
@@ -33,31 +33,31 @@
 // The bounds of the users' pages.
 const (
 	stabilityWindow = 4 * time.Second
-	drainBy         = 3 * time.Second
-	applyBy         = 3 * time.Second
-	evacuateBy      = 5 * time.Second
-	stopBy          = 6 * time.Second
+	drainLimit      = 3 * time.Second
+	applyLimit      = 3 * time.Second
+	evacuationLimit = 5 * time.Second
+	stopLimit       = 6 * time.Second
 	// rollbackSlack is how long an instance may still act on the version before, and slowedSlack if it stood still.
-	rollbackSlack = 250 * time.Millisecond
-	slowedSlack   = 8 * rollbackSlack
-	// recoverBy is when everything works again after the last fault.
-	recoverBy = 12 * time.Second
-	// coldRate is how many flows a cold upstream bears in a second: none by itself, and a slack of five.
-	coldRate = 5
-	coldFor  = 2 * time.Second
-	// memoryLimit is what a process may hold, in KB.
-	memoryLimit = 64 << 10
+	rollbackSlack          = 250 * time.Millisecond
+	disturbedRollbackSlack = 8 * rollbackSlack
+	// recoveryTime is when everything works again after the last fault.
+	recoveryTime = 12 * time.Second
+	// coldFlowLimit is how many flows a cold upstream bears in a second: none by itself, and a slack of five.
+	coldFlowLimit = 5
+	coldStartTime = 2 * time.Second
+	// memoryLimitKB is what a process may hold, in KB.
+	memoryLimitKB = 64 << 10
 )
 
 const (
-	deadline  = 2500 * time.Millisecond
-	work      = 20 * time.Millisecond
-	thinkTime = 30 * time.Millisecond
-	loops     = 6
-	// calmTime is how long the load is watched after recovery.
-	calmTime = 3 * time.Second
-	// eventGap is the mean time between two faults.
-	eventGap = 500 * time.Millisecond
+	requestTimeout = 2500 * time.Millisecond
+	requestTime    = 20 * time.Millisecond
+	thinkTime      = 30 * time.Millisecond
+	concurrency    = 6
+	// steadyTime is how long the load is watched after recovery.
+	steadyTime = 3 * time.Second
+	// meanFaultInterval is the mean time between two faults.
+	meanFaultInterval = 500 * time.Millisecond
 	// firstSubnet is the second byte of the first stage's loopback addresses; other tests use lower ones.
 	firstSubnet = 130
 )
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestKept runs seeds that once failed, each for as long as it took.
-func TestKept(t *testing.T) {
+// TestRegressionSeeds runs seeds that once failed, each for as long as it took.
+func TestRegressionSeeds(t *testing.T) {
 	cases := map[string]struct {
 		seed   uint64
 		length time.Duration
@@ -122,20 +122,20 @@
 // run is one soak.
 type run struct {
 	*stage.Environment
-	t      *testing.T
-	ledger *ledger
-	links  *links
-	script *script
-	load   *crowd.Generator
-	began  time.Time
+	t        *testing.T
+	faultLog *faultLog
+	links    *links
+	injector *injector
+	load     *crowd.Generator
+	started  time.Time
 
 	mu sync.Mutex
 	// All below is guarded by mu.
 	events     []string
 	violations []string
-	// facts are what operators and upstreams had acknowledged, for the checks.
-	facts  facts
-	probes []probe
+	// changes are what operators and upstreams had acknowledged, for the checks.
+	changes changeTimes
+	probes  []probe
 }
 
 // soak plays one seed and checks it.
@@ -143,22 +143,22 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r := &run{
-		t: t, ledger: &ledger{spans: map[string][]*span{}}, links: &links{cuts: map[[2]string]int{}, delay: map[[2]string]time.Duration{}},
-		began: time.Now(), facts: newFacts(),
+		t: t, faultLog: &faultLog{intervals: map[string][]*interval{}}, links: &links{blockCounts: map[[2]string]int{}, delays: map[[2]string]time.Duration{}},
+		started: time.Now(), changes: newChangeTimes(),
 	}
 	var err error
 	r.Environment, err = stage.New(ctx, stage.Config{
 		Binary: binary, Dir: t.TempDir(), Subnet: firstSubnet + int(subnets.Add(1))%100, Domains: domains, Instances: *instances,
-		Services: services, Routes: routes, RequestTime: work, ColdFor: coldFor, MaxStaleness: applyBy, Links: r.links,
+		Services: services, Routes: routes, RequestTime: requestTime, ColdFor: coldStartTime, MaxStaleness: applyLimit, Links: r.links,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
 	// The first upstreams start before the traffic and are warm then.
-	time.Sleep(coldFor)
+	time.Sleep(coldStartTime)
 	r.load = crowd.Start(ctx, crowd.Config{
-		Callers: r.Callers, Concurrency: loops, Deadline: deadline, ThinkTime: thinkTime, OnReset: r.checkReset,
+		Callers: r.Callers, Concurrency: concurrency, Deadline: requestTimeout, ThinkTime: thinkTime, OnReset: r.checkReset,
 		Workloads: []crowd.Workload{
 			{Name: "feed", Address: feedAddress, Service: "desk", Idempotent: true},
 			{Name: "order", Address: orderAddress, Service: "desk"},
@@ -167,8 +167,8 @@
 	})
 	var probing sync.WaitGroup
 	probing.Go(func() { r.probeRoutes(ctx, rand.New(rand.NewPCG(seed, 2))) })
-	r.script = newScript(r, rand.New(rand.NewPCG(seed, 1)))
-	r.script.play(length)
+	r.injector = newInjector(r, rand.New(rand.NewPCG(seed, 1)))
+	r.injector.injectFaults(length)
 	r.checkRecovery()
 	r.load.Stop()
 	cancel()
@@ -177,21 +177,21 @@
 	r.report(seed)
 }
 
-// clock returns an instant as the notes show it.
-func (r *run) clock(at time.Time) string {
-	return fmt.Sprintf("%.3f", at.Sub(r.began).Seconds())
+// timestamp returns an instant as the notes show it.
+func (r *run) timestamp(at time.Time) string {
+	return fmt.Sprintf("%.3f", at.Sub(r.started).Seconds())
 }
 
-// note keeps what was done, for the report.
-func (r *run) note(format string, args ...any) {
+// logEvent keeps what was done, for the report.
+func (r *run) logEvent(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.events = append(r.events, r.clock(time.Now())+" "+fmt.Sprintf(format, args...))
+	r.events = append(r.events, r.timestamp(time.Now())+" "+fmt.Sprintf(format, args...))
 }
 
-// violate keeps a broken promise.
-func (r *run) violate(format string, args ...any) {
-	r.note("BROKEN: "+format, args...)
+// addViolation keeps a broken promise.
+func (r *run) addViolation(format string, args ...any) {
+	r.logEvent("BROKEN: "+format, args...)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
@@ -201,7 +201,7 @@
 func (r *run) report(seed uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.t.Logf("seed %d: %d faults, %d probes", seed, r.script.count, len(r.probes))
+	r.t.Logf("seed %d: %d faults, %d probes", seed, r.injector.faultCount, len(r.probes))
 	if len(r.violations) == 0 && !r.t.Failed() {
 		return
 	}
--- a/internal/proof/whole/document_test.go
+++ b/internal/proof/whole/document_test.go
@@ -36,41 +36,41 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, doubled(tc.setup))
+			s := newSystem(t, withDuplicates(tc.setup))
 			s.startLoad()
 			if strings.Contains(name, "cut off") {
-				s.net.cut(tc.domain, "platform")
+				s.net.partition(tc.domain, "platform")
 			}
-			s.out(tc.domain, true)
+			s.setDomainOut(tc.domain, true)
 			accepted := time.Now()
-			time.Sleep(2 * soon)
-			s.checkNoPackets(tc.domain, accepted.Add(soon))
-			s.checkOthersUnbroken(tc.domain)
-			s.checkUncut(accepted)
-			s.out(tc.domain, false)
-			back := time.Now()
-			time.Sleep(2 * soon)
-			s.checkServing(tc.domain, back)
-			s.checkPromises()
+			time.Sleep(2 * shortLimit)
+			s.checkNoPackets(tc.domain, accepted.Add(shortLimit))
+			s.checkNoStreamBrokenOutside(tc.domain)
+			s.checkNoBookingLost(accepted)
+			s.setDomainOut(tc.domain, false)
+			returned := time.Now()
+			time.Sleep(2 * shortLimit)
+			s.checkServing(tc.domain, returned)
+			s.checkInvariants()
 		})
 	}
 }
 
 // checkNoPackets checks that no upstream of the domain got a packet after the deadline.
-func (s *stage) checkNoPackets(domain model.DomainID, deadline time.Time) {
+func (s *system) checkNoPackets(domain model.DomainID, deadline time.Time) {
 	s.t.Helper()
-	for name, j := range s.journals() {
-		if s.UpstreamDomains()[name] == domain && j.LastPacket.After(deadline) {
-			s.t.Errorf("%s got a packet %s after its domain had to be silent", name, j.LastPacket.Sub(deadline))
+	for name, st := range s.stats() {
+		if s.UpstreamDomains()[name] == domain && st.LastPacket.After(deadline) {
+			s.t.Errorf("%s got a packet %s after its domain had to be silent", name, st.LastPacket.Sub(deadline))
 		}
 	}
 }
 
 // checkServing checks that upstreams of the domain work again.
-func (s *stage) checkServing(domain model.DomainID, since time.Time) {
+func (s *system) checkServing(domain model.DomainID, since time.Time) {
 	s.t.Helper()
-	for name, j := range s.journals() {
-		if s.UpstreamDomains()[name] == domain && j.LastArrival.After(since) {
+	for name, st := range s.stats() {
+		if s.UpstreamDomains()[name] == domain && st.LastArrival.After(since) {
 			return
 		}
 	}
@@ -79,12 +79,12 @@
 
 // TestDocumentInForce proves that accepted documents are in force everywhere soon, and that none reverts.
 func TestDocumentInForce(t *testing.T) {
-	cases := map[string]func(*stage){
-		"all is well": func(*stage) {},
-		"a domain is cut from the platform": func(s *stage) {
-			s.net.cut("gembloux", "platform")
+	cases := map[string]func(*system){
+		"all is well": func(*system) {},
+		"a domain is cut from the platform": func(s *system) {
+			s.net.partition("gembloux", "platform")
 		},
-		"an instance is killed and another joins": func(s *stage) {
+		"an instance is killed and another joins": func(s *system) {
 			s.Kill(s.Instances[0])
 			if _, err := s.AddInstance("gembloux"); err != nil {
 				s.t.Fatal(err)
@@ -94,13 +94,13 @@
 	for name, disturb := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, fleet.Regie())
+			s := newSystem(t, fleet.Regie())
 			stop := s.watchVersions()
 			disturb(s)
 			for n := range 6 {
-				began := time.Now()
-				s.awaitVersion(s.leave("ruche-service-1", n%2 == 0), soon)
-				t.Logf("in force everywhere after %s", time.Since(began))
+				start := time.Now()
+				s.awaitVersion(s.setLeaving("ruche-service-1", n%2 == 0), shortLimit)
+				t.Logf("in force everywhere after %s", time.Since(start))
 			}
 			stop()
 		})
@@ -108,19 +108,19 @@
 }
 
 // watchVersions checks until it is stopped that no instance is ever seen at a lower version.
-func (s *stage) watchVersions() (stop func()) {
+func (s *system) watchVersions() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for _, in := range s.Instances {
 		wg.Go(func() {
-			var top uint64
+			var highest uint64
 			for ctx.Err() == nil {
 				w, err := in.Status(ctx)
-				if err == nil && w.Document < top {
-					s.t.Errorf("instance %s fell from version %d to %d", in.ID, top, w.Document)
+				if err == nil && w.Document < highest {
+					s.t.Errorf("instance %s fell from version %d to %d", in.ID, highest, w.Document)
 				}
 				if err == nil {
-					top = w.Document
+					highest = w.Document
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
@@ -132,8 +132,8 @@
 	}
 }
 
-// follows checks that exactly one change was made: versions count all changes of the store, so the document itself tells.
-func follows(is *is.I, base, after change.StoredDocument) {
+// checkOneChange checks that exactly one change was made: versions count all changes of the store, so the document itself tells.
+func checkOneChange(is *is.I, base, after change.StoredDocument) {
 	is.Helper()
 	is.True(after.Version > base.Version)
 	is.Equal(after.Document.Earlier[0], base.Document.Operation)
@@ -141,9 +141,9 @@
 
 // TestOperators proves what two operators and a lossy platform may do to a change.
 func TestOperators(t *testing.T) {
-	s := newStage(t, fleet.Regie())
+	s := newSystem(t, fleet.Regie())
 	client := object.NewClient(s.Platform(), netip.Addr{})
-	ctx, cancel := context.WithTimeout(context.Background(), startLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 
 	t.Run("two race and one wins", func(t *testing.T) {
@@ -171,7 +171,7 @@
 		is.True(strings.Contains(first.Error(), "operator-"))
 		after, err := change.Read(ctx, client)
 		is.NoErr(err)
-		follows(is, base, after)
+		checkOneChange(is, base, after)
 	})
 
 	t.Run("a lost answer is settled", func(t *testing.T) {
@@ -179,12 +179,12 @@
 		base, err := change.Read(ctx, client)
 		is.NoErr(err)
 		s.Store.DropResponses(1)
-		v := s.leave("ruche-service-2", true)
+		v := s.setLeaving("ruche-service-2", true)
 		after, err := change.Read(ctx, client)
 		is.NoErr(err)
 		is.Equal(after.Version, v)
-		follows(is, base, after)
-		s.awaitVersion(v, soon)
+		checkOneChange(is, base, after)
+		s.awaitVersion(v, shortLimit)
 	})
 
 	t.Run("an object that is no document changes nothing and is replaced", func(t *testing.T) {
@@ -201,7 +201,7 @@
 		}
 		v, err := change.Submit(ctx, client, change.StoredDocument{Version: broken}, good.Text, "operator")
 		is.NoErr(err)
-		s.awaitVersion(v, soon)
+		s.awaitVersion(v, shortLimit)
 	})
 
 	t.Run("an outage of a minute's start is waited for", func(t *testing.T) {
@@ -212,7 +212,7 @@
 		for base.Version == 0 {
 			base, _ = change.Read(ctx, client)
 		}
-		v := s.leave("ruche-service-2", false)
+		v := s.setLeaving("ruche-service-2", false)
 		is.Equal(v, base.Version+1)
 	})
 }
@@ -223,57 +223,57 @@
 	for name, setup := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, setup)
+			s := newSystem(t, setup)
 			s.startLoad()
-			began := time.Now()
-			s.out(setup.Domains[0], true)
+			start := time.Now()
+			s.setDomainOut(setup.Domains[0], true)
 			time.Sleep(6 * time.Second)
-			s.out(setup.Domains[0], false)
+			s.setDomainOut(setup.Domains[0], false)
 			time.Sleep(8 * time.Second)
-			out := s.load.Bookings(began)
+			out := s.load.Bookings(start)
 			total := 0
 			for _, n := range out {
 				total += n
 			}
 			t.Logf("served %d of %d bookings: %v", out[caller.OutcomeDone], total, out)
-			s.checkUncut(began)
-			s.checkPromises()
+			s.checkNoBookingLost(start)
+			s.checkInvariants()
 		})
 	}
 }
 
-// TestDomainOutBehindCut measures a domain that is out while its instances hear nobody who knows, and proves that it ends with the cut.
-func TestDomainOutBehindCut(t *testing.T) {
+// TestDomainOutDuringPartition measures a domain that is out while its instances hear nobody who knows, and proves that it ends with the cut.
+func TestDomainOutDuringPartition(t *testing.T) {
 	t.Parallel()
 	const domain = "jambes"
-	s := newStage(t, fleet.Regie())
+	s := newSystem(t, fleet.Regie())
 	s.startLoad()
 	for _, other := range []model.DomainID{"namur-ville", "gembloux", "platform"} {
-		s.net.cut(domain, other)
+		s.net.partition(domain, other)
 	}
-	s.out(domain, true)
-	time.Sleep(soon + 3*time.Second)
-	behind := 0
-	for name, j := range s.journals() {
-		if s.UpstreamDomains()[name] == domain && time.Since(j.LastPacket) < time.Second {
-			behind++
+	s.setDomainOut(domain, true)
+	time.Sleep(shortLimit + 3*time.Second)
+	receiving := 0
+	for name, st := range s.stats() {
+		if s.UpstreamDomains()[name] == domain && time.Since(st.LastPacket) < time.Second {
+			receiving++
 		}
 	}
-	t.Logf("%d upstreams behind the cut still get packets from instances behind it", behind)
+	t.Logf("%d upstreams behind the cut still get packets from instances behind it", receiving)
 	s.net.heal()
 	healed := time.Now()
-	time.Sleep(2 * soon)
-	s.checkNoPackets(domain, healed.Add(soon))
-	s.checkPromises()
+	time.Sleep(2 * shortLimit)
+	s.checkNoPackets(domain, healed.Add(shortLimit))
+	s.checkInvariants()
 }
 
-// TestTransfer proves that the blocks of a photograph reach one upstream, also while an instance stops.
-func TestTransfer(t *testing.T) {
+// TestBlockwiseTransfer proves that the blocks of a photograph reach one upstream, also while an instance stops.
+func TestBlockwiseTransfer(t *testing.T) {
 	t.Parallel()
 	const blocks = 40
 	is := is.New(t)
-	s := newStage(t, doubled(fleet.Ikirere()))
-	c, err := caller.New(caller.Config{Local: s.CallerIP(), Service: s.Services["field-claims"], Seed: seed, Timeout: soon})
+	s := newSystem(t, withDuplicates(fleet.Ikirere()))
+	c, err := caller.New(caller.Config{Local: s.CallerIP(), Service: s.Services["field-claims"], Seed: seed, Timeout: shortLimit})
 	is.NoErr(err)
 	defer c.Close()
 	var binding []byte
--- a/internal/proof/whole/fault_test.go
+++ b/internal/proof/whole/fault_test.go
@@ -13,12 +13,12 @@
 
 // TestFault proves that what must always hold does so under each fault, alone and with another.
 func TestFault(t *testing.T) {
-	cases := map[string]func(*stage){
-		"instance killed": func(s *stage) {
+	cases := map[string]func(*system){
+		"instance killed": func(s *system) {
 			s.Kill(s.Instances[0])
 			time.Sleep(8 * time.Second)
 		},
-		"instance killed and replaced": func(s *stage) {
+		"instance killed and replaced": func(s *system) {
 			s.Kill(s.Instances[3])
 			time.Sleep(2 * time.Second)
 			if err := s.Restart(s.Instances[3]); err != nil {
@@ -26,25 +26,25 @@
 			}
 			time.Sleep(8 * time.Second)
 		},
-		"instance paused past its bindings and woken": func(s *stage) {
+		"instance paused past its bindings and woken": func(s *system) {
 			in := s.Instances[4]
 			in.Pause()
 			time.Sleep(10 * time.Second)
 			in.Resume()
 			time.Sleep(6 * time.Second)
 		},
-		"upstream restarted cold without warning": func(s *stage) {
+		"upstream restarted cold without warning": func(s *system) {
 			s.restart("ruche-service-2", 2*time.Second)
 			time.Sleep(8 * time.Second)
 		},
-		"upstream restarted while an instance is killed": func(s *stage) {
+		"upstream restarted while an instance is killed": func(s *system) {
 			s.Node("ruche-service-2").Kill()
 			s.Kill(s.Instances[1])
 			time.Sleep(2 * time.Second)
 			s.Node("ruche-service-2").Restart()
 			time.Sleep(8 * time.Second)
 		},
-		"upstream restarted while an instance joins": func(s *stage) {
+		"upstream restarted while an instance joins": func(s *system) {
 			s.Node("inspection-depot-2").Kill()
 			time.Sleep(time.Second)
 			if _, err := s.AddInstance("jambes"); err != nil {
@@ -54,41 +54,41 @@
 			s.Node("inspection-depot-2").Restart()
 			time.Sleep(8 * time.Second)
 		},
-		"upstream sheds everything": func(s *stage) {
+		"upstream sheds everything": func(s *system) {
 			s.Node("ruche-service-4").SetShedding(true)
 			time.Sleep(5 * time.Second)
 			s.Node("ruche-service-4").SetShedding(false)
 			time.Sleep(2 * time.Second)
 		},
-		"load reports lie": func(s *stage) {
+		"load reports lie": func(s *system) {
 			s.Node("ruche-service-1").OverrideHealth(&upnode.HealthReport{State: "warm", Connections: 0})
 			s.Node("ruche-service-5").OverrideHealth(&upnode.HealthReport{State: "warm", Connections: 1 << 20})
 			s.restart("ruche-service-1", 2*time.Second)
 			time.Sleep(8 * time.Second)
 		},
-		"datagrams lost, doubled, late and crossed": func(s *stage) {
-			s.net.setWeather(weather{drop: 0.02, delay: 0.2, late: 300 * time.Millisecond})
+		"datagrams lost, doubled, late and crossed": func(s *system) {
+			s.net.setDatagramFaults(datagramFaults{dropRate: 0.02, delayRate: 0.2, maxDelay: 300 * time.Millisecond})
 			time.Sleep(10 * time.Second)
-			s.net.setWeather(weather{})
+			s.net.setDatagramFaults(datagramFaults{})
 			time.Sleep(2 * time.Second)
 		},
-		"domains cut from each other": func(s *stage) {
-			s.net.cut("jambes", "namur-ville")
-			s.net.cut("jambes", "gembloux")
+		"domains cut from each other": func(s *system) {
+			s.net.partition("jambes", "namur-ville")
+			s.net.partition("jambes", "gembloux")
 			time.Sleep(10 * time.Second)
 			s.net.heal()
 			time.Sleep(8 * time.Second)
 		},
-		"domain cut from everything while an upstream restarts": func(s *stage) {
-			s.net.cut("jambes", "namur-ville")
-			s.net.cut("jambes", "gembloux")
-			s.net.cut("jambes", "platform")
+		"domain cut from everything while an upstream restarts": func(s *system) {
+			s.net.partition("jambes", "namur-ville")
+			s.net.partition("jambes", "gembloux")
+			s.net.partition("jambes", "platform")
 			s.restart("ruche-service-2", 2*time.Second)
 			time.Sleep(6 * time.Second)
 			s.net.heal()
 			time.Sleep(8 * time.Second)
 		},
-		"platform down for a minute and slow": func(s *stage) {
+		"platform down for a minute and slow": func(s *system) {
 			s.Store.SetOutage(stand.OutageUnavailable)
 			time.Sleep(time.Minute)
 			s.Store.SetOutage(stand.OutageNone)
@@ -96,7 +96,7 @@
 			time.Sleep(4 * time.Second)
 			s.Store.SetDelay(0)
 		},
-		"instance joins during an outage of the platform": func(s *stage) {
+		"instance joins during an outage of the platform": func(s *system) {
 			s.Store.SetOutage(stand.OutageUnavailable)
 			s.Kill(s.Instances[6])
 			time.Sleep(time.Second)
@@ -107,18 +107,18 @@
 			s.Store.SetOutage(stand.OutageNone)
 		},
 	}
-	for name, bring := range cases {
+	for name, inject := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, doubled(fleet.Regie()))
+			s := newSystem(t, withDuplicates(fleet.Regie()))
 			s.startLoad()
-			bring(s)
+			inject(s)
 			healed := time.Now()
 			time.Sleep(4 * time.Second)
 			if out := s.load.Bookings(healed); out[caller.OutcomeDone] == 0 {
 				t.Errorf("no booking was done after the fault: %v", out)
 			}
-			s.checkPromises()
+			s.checkInvariants()
 		})
 	}
 }
--- a/internal/proof/whole/faultnet_test.go
+++ b/internal/proof/whole/faultnet_test.go
@@ -15,46 +15,46 @@
 )
 
 const (
-	relayPort  = 7500
-	relayGroup = 60
-	relayBase  = 15
-	maxPacket  = 64 << 10
+	proxyPort     = 7500
+	proxyGroup    = 60
+	proxyHostBase = 15
+	maxDatagram   = 64 << 10
 )
 
-// weather is what happens to datagrams.
-type weather struct {
-	drop, double, delay float64
-	// late is how long a delayed datagram takes at most.
-	late time.Duration
+// datagramFaults is what happens to datagrams.
+type datagramFaults struct {
+	dropRate, duplicateRate, delayRate float64
+	// maxDelay is how long a delayed datagram takes at most.
+	maxDelay time.Duration
 }
 
-// faultNet stands between the parts of a fleet: it cuts links, and drops, delays, reorders and doubles datagrams.
-type faultNet struct {
-	t      *testing.T
-	closed []func()
+// faultNetwork stands between the parts of a fleet: it cuts links, and drops, delays, reorders and doubles datagrams.
+type faultNetwork struct {
+	t       *testing.T
+	closers []func()
 
 	mu sync.Mutex
 	// all below is guarded by mu.
-	rng     *rand.Rand
-	hosts   int
-	names   map[netip.Addr]string
-	domains map[string]string
-	cuts    map[[2]string]bool
-	weather weather
+	rng        *rand.Rand
+	proxyCount int
+	names      map[netip.Addr]string
+	domains    map[string]string
+	blocked    map[[2]string]bool
+	faults     datagramFaults
 }
 
-func newFaultNet(t *testing.T) *faultNet {
-	return &faultNet{
+func newFaultNetwork(t *testing.T) *faultNetwork {
+	return &faultNetwork{
 		t:       t,
 		rng:     rand.New(rand.NewPCG(seed, 3)),
 		names:   map[netip.Addr]string{},
 		domains: map[string]string{"platform": "platform"},
-		cuts:    map[[2]string]bool{},
+		blocked: map[[2]string]bool{},
 	}
 }
 
-// attach learns which instance has which address, and where upstreams are.
-func (n *faultNet) attach(f *fleet.Fleet) {
+// register learns which instance has which address, and where upstreams are.
+func (n *faultNetwork) register(f *fleet.Fleet) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, in := range f.Instances {
@@ -66,187 +66,187 @@
 	}
 }
 
-func (n *faultNet) close() {
-	for _, c := range n.closed {
+func (n *faultNetwork) close() {
+	for _, c := range n.closers {
 		c()
 	}
 }
 
-// cut severs both directions between two domains; "platform" counts as one.
-func (n *faultNet) cut(a, b model.DomainID) {
-	n.set(a, b, true)
+// partition severs both directions between two domains; "platform" counts as one.
+func (n *faultNetwork) partition(a, b model.DomainID) {
+	n.setBlocked(a, b, true)
 }
 
 // heal ends every cut.
-func (n *faultNet) heal() {
+func (n *faultNetwork) heal() {
 	n.mu.Lock()
-	pairs := make([][2]string, 0, len(n.cuts))
-	for pair := range n.cuts {
+	pairs := make([][2]string, 0, len(n.blocked))
+	for pair := range n.blocked {
 		pairs = append(pairs, pair)
 	}
 	n.mu.Unlock()
 	for _, pair := range pairs {
-		n.set(model.DomainID(pair[0]), model.DomainID(pair[1]), false)
+		n.setBlocked(model.DomainID(pair[0]), model.DomainID(pair[1]), false)
 	}
 }
 
-func (n *faultNet) set(a, b model.DomainID, cut bool) {
+func (n *faultNetwork) setBlocked(a, b model.DomainID, blocked bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[[2]string{string(a), string(b)}] = cut
-	n.cuts[[2]string{string(b), string(a)}] = cut
+	n.blocked[[2]string{string(a), string(b)}] = blocked
+	n.blocked[[2]string{string(b), string(a)}] = blocked
 }
 
-func (n *faultNet) setWeather(w weather) {
+func (n *faultNetwork) setDatagramFaults(faults datagramFaults) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.weather = w
+	n.faults = faults
 }
 
 // Blocked implements tunnel.Links.
-func (n *faultNet) Blocked(from, to string) bool {
+func (n *faultNetwork) Blocked(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cuts[[2]string{n.domains[from], n.domains[to]}]
+	return n.blocked[[2]string{n.domains[from], n.domains[to]}]
 }
 
 // Delay implements tunnel.Links.
-func (n *faultNet) Delay(string, string) time.Duration {
+func (n *faultNetwork) Delay(string, string) time.Duration {
 	return 0
 }
 
-func (n *faultNet) nameOf(addr netip.Addr) string {
+func (n *faultNetwork) instanceAt(addr netip.Addr) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.names[addr.Unmap()]
 }
 
-// fate returns the delays after which a datagram arrives: none for a lost one, two for a doubled one.
-func (n *faultNet) fate() []time.Duration {
+// drawDelays returns the delays after which a datagram arrives: none for a lost one, two for a doubled one.
+func (n *faultNetwork) drawDelays() []time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	w := n.weather
-	if n.rng.Float64() < w.drop {
+	faults := n.faults
+	if n.rng.Float64() < faults.dropRate {
 		return nil
 	}
 	delays := []time.Duration{0}
-	if n.rng.Float64() < w.double {
+	if n.rng.Float64() < faults.duplicateRate {
 		delays = append(delays, 0)
 	}
 	for i := range delays {
-		if n.rng.Float64() < w.delay {
-			delays[i] = time.Duration(n.rng.Float64() * float64(w.late))
+		if n.rng.Float64() < faults.delayRate {
+			delays[i] = time.Duration(n.rng.Float64() * float64(faults.maxDelay))
 		}
 	}
 	return delays
 }
 
 // wire implements fleet.Wiring.
-func (n *faultNet) wire(role fleet.Role, owner string, real netip.AddrPort) (netip.AddrPort, error) {
+func (n *faultNetwork) wire(role fleet.Role, server string, target netip.AddrPort) (netip.AddrPort, error) {
 	n.mu.Lock()
-	n.hosts++
-	host := n.hosts
+	n.proxyCount++
+	host := n.proxyCount
 	n.mu.Unlock()
-	ip := real.Addr().As4()
-	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, ip[1], relayGroup, byte(relayBase + host)}), relayPort)
+	ip := target.Addr().As4()
+	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, ip[1], proxyGroup, byte(proxyHostBase + host)}), proxyPort)
 	if role == fleet.RoleControl || role == fleet.RolePlatform {
-		return addr, n.relayTCP(addr, owner, real)
+		return addr, n.proxyTCP(addr, server, target)
 	}
-	return addr, n.relayUDP(addr, owner, real, role == fleet.RoleUpstream)
+	return addr, n.proxyUDP(addr, server, target, role == fleet.RoleUpstream)
 }
 
-func (n *faultNet) relayTCP(addr netip.AddrPort, owner string, real netip.AddrPort) error {
+func (n *faultNetwork) proxyTCP(addr netip.AddrPort, server string, target netip.AddrPort) error {
 	l, err := net.Listen("tcp", addr.String())
 	if err != nil {
 		return err
 	}
-	t := tunnel.New(tunnel.Config{Listener: l, Target: real, ServerName: owner, ClientName: n.nameOf, Links: n})
-	n.closed = append(n.closed, t.Close)
+	p := tunnel.New(tunnel.Config{Listener: l, Target: target, ServerName: server, ClientName: n.instanceAt, Links: n})
+	n.closers = append(n.closers, p.Close)
 	return nil
 }
 
-func (n *faultNet) relayUDP(addr netip.AddrPort, owner string, real netip.AddrPort, answers bool) error {
+func (n *faultNetwork) proxyUDP(addr netip.AddrPort, server string, target netip.AddrPort, replies bool) error {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return err
 	}
 	_ = conn.SetReadBuffer(4 << 20)
-	n.closed = append(n.closed, func() { _ = conn.Close() })
-	r := &udpRelay{n: n, conn: conn, owner: owner, real: real, answers: answers, back: map[netip.AddrPort]*net.UDPConn{}}
-	go r.run()
+	n.closers = append(n.closers, func() { _ = conn.Close() })
+	p := &udpProxy{net: n, conn: conn, server: server, target: target, replies: replies, serverConns: map[netip.AddrPort]*net.UDPConn{}}
+	go p.run()
 	return nil
 }
 
-// udpRelay passes datagrams to one owner, and its answers back the way they came.
-type udpRelay struct {
-	n       *faultNet
-	conn    *net.UDPConn
-	owner   string
-	real    netip.AddrPort
-	answers bool
-	back    map[netip.AddrPort]*net.UDPConn
+// udpProxy passes datagrams to one owner, and its answers back the way they came.
+type udpProxy struct {
+	net         *faultNetwork
+	conn        *net.UDPConn
+	server      string
+	target      netip.AddrPort
+	replies     bool
+	serverConns map[netip.AddrPort]*net.UDPConn
 }
 
-func (r *udpRelay) run() {
-	buf := make([]byte, maxPacket)
+func (p *udpProxy) run() {
+	buf := make([]byte, maxDatagram)
 	for {
-		size, from, err := r.conn.ReadFromUDPAddrPort(buf)
+		size, client, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		name := r.n.nameOf(from.Addr())
-		out, err := r.toward(from, name)
-		if err != nil || r.n.Blocked(name, r.owner) {
+		clientName := p.net.instanceAt(client.Addr())
+		out, err := p.serverConn(client, clientName)
+		if err != nil || p.net.Blocked(clientName, p.server) {
 			continue
 		}
-		r.n.deliver(buf[:size], func(raw []byte) { _, _ = out.Write(raw) })
+		p.net.deliver(buf[:size], func(raw []byte) { _, _ = out.Write(raw) })
 	}
 }
 
-// toward returns the socket that speaks to the owner for one source.
-func (r *udpRelay) toward(from netip.AddrPort, name string) (*net.UDPConn, error) {
-	if out := r.back[from]; out != nil {
+// serverConn returns the socket that speaks to the owner for one source.
+func (p *udpProxy) serverConn(client netip.AddrPort, clientName string) (*net.UDPConn, error) {
+	if out := p.serverConns[client]; out != nil {
 		return out, nil
 	}
-	out, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(r.real))
+	out, err := net.DialUDP("udp", nil, net.UDPAddrFromAddrPort(p.target))
 	if err != nil {
 		return nil, err
 	}
-	r.back[from] = out
-	r.n.mu.Lock()
-	r.n.closed = append(r.n.closed, func() { _ = out.Close() })
-	r.n.mu.Unlock()
-	if r.answers {
-		go r.answer(out, from, name)
+	p.serverConns[client] = out
+	p.net.mu.Lock()
+	p.net.closers = append(p.net.closers, func() { _ = out.Close() })
+	p.net.mu.Unlock()
+	if p.replies {
+		go p.forwardReplies(out, client, clientName)
 	}
 	return out, nil
 }
 
-func (r *udpRelay) answer(out *net.UDPConn, to netip.AddrPort, name string) {
-	buf := make([]byte, maxPacket)
+func (p *udpProxy) forwardReplies(out *net.UDPConn, client netip.AddrPort, clientName string) {
+	buf := make([]byte, maxDatagram)
 	for {
 		size, err := out.Read(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil || r.n.Blocked(r.owner, name) {
+		if err != nil || p.net.Blocked(p.server, clientName) {
 			continue
 		}
-		r.n.deliver(buf[:size], func(raw []byte) { _, _ = r.conn.WriteToUDPAddrPort(raw, to) })
+		p.net.deliver(buf[:size], func(raw []byte) { _, _ = p.conn.WriteToUDPAddrPort(raw, client) })
 	}
 }
 
 // deliver sends a datagram according to its fate.
-func (n *faultNet) deliver(raw []byte, send func([]byte)) {
-	for _, delay := range n.fate() {
+func (n *faultNetwork) deliver(raw []byte, send func([]byte)) {
+	for _, delay := range n.drawDelays() {
 		if delay == 0 {
 			send(raw)
 			continue
 		}
-		kept := append([]byte{}, raw...)
-		time.AfterFunc(delay, func() { send(kept) })
+		datagram := append([]byte{}, raw...)
+		time.AfterFunc(delay, func() { send(datagram) })
 	}
 }
--- a/internal/proof/whole/flow_test.go
+++ b/internal/proof/whole/flow_test.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	opaqueFlows   = 150
-	opaqueEvery   = 200 * time.Millisecond
-	opaqueService = "stock-feed"
+	opaqueFlows    = 150
+	opaqueInterval = 200 * time.Millisecond
+	opaqueService  = "stock-feed"
 )
 
-// opaque returns a set-up with one service of opaque datagrams.
-func opaque() fleet.Setup {
+// opaqueSetup returns a set-up with one service of opaque datagrams.
+func opaqueSetup() fleet.Setup {
 	setup := fleet.Ikirere()
 	setup.Services = []fleet.Service{{ID: opaqueService, Kind: "datagram", Upstreams: 14, Slots: 3, Connections: 2000}}
 	return setup
@@ -28,22 +28,22 @@
 func TestOpaqueFlow(t *testing.T) {
 	cases := map[string]struct {
 		planned bool
-		change  func(*stage)
+		change  func(*system)
 	}{
-		"upstream leaves and instance stops": {planned: true, change: func(s *stage) {
-			s.leave("stock-feed-2", true)
+		"upstream leaves and instance stops": {planned: true, change: func(s *system) {
+			s.setLeaving("stock-feed-2", true)
 			time.Sleep(2 * time.Second)
 			s.Stop(s.Instances[1])
 			time.Sleep(8 * time.Second)
 		}},
-		"instance joins": {planned: true, change: func(s *stage) {
+		"instance joins": {planned: true, change: func(s *system) {
 			if _, err := s.AddInstance("gakenke"); err != nil {
 				s.t.Fatal(err)
 			}
 			time.Sleep(10 * time.Second)
 		}},
-		"upstream leaves and instance is killed": {change: func(s *stage) {
-			s.leave("stock-feed-2", true)
+		"upstream leaves and instance is killed": {change: func(s *system) {
+			s.setLeaving("stock-feed-2", true)
 			time.Sleep(2 * time.Second)
 			s.Kill(s.Instances[1])
 			time.Sleep(8 * time.Second)
@@ -52,7 +52,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, opaque())
+			s := newSystem(t, opaqueSetup())
 			reports, stop := s.startFlows()
 			time.Sleep(5 * time.Second)
 			tc.change(s)
@@ -63,14 +63,14 @@
 }
 
 // startFlows sets callers with opaque flows to work.
-func (s *stage) startFlows() (reports *[]caller.FlowReport, stop func()) {
+func (s *system) startFlows() (reports *[]caller.FlowReport, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	reports = new([]caller.FlowReport)
 	for n := range opaqueFlows {
 		wg.Go(func() {
-			r, err := caller.RunFlow(ctx, s.CallerIP(), s.Services[model.ServiceID(opaqueService)], opaqueEvery, uint32(n+1))
+			r, err := caller.RunFlow(ctx, s.CallerIP(), s.Services[model.ServiceID(opaqueService)], opaqueInterval, uint32(n+1))
 			if err != nil {
 				s.t.Error(err)
 			}
@@ -86,7 +86,7 @@
 	}
 }
 
-func (s *stage) checkFlows(reports []caller.FlowReport, planned bool) {
+func (s *system) checkFlows(reports []caller.FlowReport, planned bool) {
 	s.t.Helper()
 	sent, answered, moved := 0, 0, 0
 	for _, r := range reports {
@@ -94,8 +94,8 @@
 		if r.UpstreamChanges > 0 {
 			moved++
 		}
-		if silent := time.Since(r.LastReply); silent > soon {
-			s.t.Errorf("a flow has had no answer for %s", silent)
+		if silence := time.Since(r.LastReply); silence > shortLimit {
+			s.t.Errorf("a flow has had no answer for %s", silence)
 		}
 		if r.Misdelivered > 0 {
 			s.t.Errorf("a flow got %d answers of others", r.Misdelivered)
@@ -105,12 +105,12 @@
 	if planned && moved > 0 {
 		s.t.Errorf("%d flows moved", moved)
 	}
-	for name, j := range s.journals() {
-		if j.Misrouted != 0 {
-			s.t.Errorf("%s got %d packets of another service", name, j.Misrouted)
+	for name, st := range s.stats() {
+		if st.Misrouted != 0 {
+			s.t.Errorf("%s got %d packets of another service", name, st.Misrouted)
 		}
-		if j.MaxColdOpened > coldConnections {
-			s.t.Errorf("%s had %d flows opened in cold start", name, j.MaxColdOpened)
+		if st.MaxColdOpened > coldConnections {
+			s.t.Errorf("%s had %d flows opened in cold start", name, st.MaxColdOpened)
 		}
 	}
 }
--- a/internal/proof/whole/harness_test.go
+++ b/internal/proof/whole/harness_test.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	seed       = 1
-	startLimit = 30 * time.Second
-	// soon is what "within seconds" and "a few seconds" mean.
-	soon = 5 * time.Second
+	seed         = 1
+	startTimeout = 30 * time.Second
+	// shortLimit is what "within seconds" and "a few seconds" mean.
+	shortLimit = 5 * time.Second
 )
 
 var binary string
@@ -38,19 +38,19 @@
 	os.Exit(code)
 }
 
-// stage is a running fleet with its load and the faults between its parts.
-type stage struct {
+// system is a running fleet with its load and the faults between its parts.
+type system struct {
 	*fleet.Fleet
 	t    *testing.T
-	net  *faultNet
+	net  *faultNetwork
 	load *drive.Load
 }
 
-// newStage starts a fleet that is warm, with faults to bring about, until the test ends.
-func newStage(t *testing.T, setup fleet.Setup) *stage {
+// newSystem starts a fleet that is warm, with faults to bring about, until the test ends.
+func newSystem(t *testing.T, setup fleet.Setup) *system {
 	t.Helper()
 	dir := t.TempDir()
-	n := newFaultNet(t)
+	n := newFaultNetwork(t)
 	f, err := fleet.Start(context.Background(), fleet.Config{Setup: setup, Binary: binary, Dir: dir, Wiring: n.wire, Seed: seed})
 	if err != nil {
 		t.Fatal(err)
@@ -63,9 +63,9 @@
 			printLogs(t, f, dir)
 		}
 	})
-	n.attach(f)
-	s := &stage{Fleet: f, t: t, net: n}
-	s.awaitVersion(1, startLimit)
+	n.register(f)
+	s := &system{Fleet: f, t: t, net: n}
+	s.awaitVersion(1, startTimeout)
 	s.awaitWarm(setup)
 	return s
 }
@@ -77,7 +77,7 @@
 	}
 }
 
-func (s *stage) awaitVersion(v model.Version, limit time.Duration) {
+func (s *system) awaitVersion(v model.Version, limit time.Duration) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -87,9 +87,9 @@
 }
 
 // awaitWarm waits until the units are usable; what is usable before the first answers is the cold allowance.
-func (s *stage) awaitWarm(setup fleet.Setup) {
+func (s *system) awaitWarm(setup fleet.Setup) {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), startLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	want := 0
 	for _, svc := range setup.Services {
@@ -101,9 +101,9 @@
 }
 
 // edit changes the document and returns when the change is accepted.
-func (s *stage) edit(edit func(change.StoredDocument) ([]byte, error)) model.Version {
+func (s *system) edit(edit func(change.StoredDocument) ([]byte, error)) model.Version {
 	s.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), startLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	v, err := s.Edit(ctx, edit)
 	if err != nil {
@@ -112,27 +112,27 @@
 	return v
 }
 
-// leave changes whether the upstream is leaving.
-func (s *stage) leave(id string, leaving bool) model.Version {
+// setLeaving changes whether the upstream is leaving.
+func (s *system) setLeaving(id string, leaving bool) model.Version {
 	return s.edit(func(d change.StoredDocument) ([]byte, error) {
 		return change.SetUpstreamLeaving(d, model.UpstreamID(id), leaving, "")
 	})
 }
 
-// out changes whether the failure domain is taken out.
-func (s *stage) out(id model.DomainID, out bool) {
+// setDomainOut changes whether the failure domain is taken out.
+func (s *system) setDomainOut(id model.DomainID, out bool) {
 	s.edit(func(d change.StoredDocument) ([]byte, error) { return change.SetDomainOut(d, id, out, "") })
 }
 
 // restart makes the upstream silent for a while and starts it cold.
-func (s *stage) restart(name string, silent time.Duration) {
+func (s *system) restart(name string, downtime time.Duration) {
 	s.Node(name).Kill()
-	time.Sleep(silent)
+	time.Sleep(downtime)
 	s.Node(name).Restart()
 }
 
-// journals returns what every upstream has seen, by name.
-func (s *stage) journals() map[string]upnode.Stats {
+// stats returns what every upstream has seen, by name.
+func (s *system) stats() map[string]upnode.Stats {
 	out := map[string]upnode.Stats{}
 	for _, n := range s.Nodes {
 		out[n.Name()] = n.Stats()
--- a/internal/proof/whole/planned_test.go
+++ b/internal/proof/whole/planned_test.go
@@ -14,43 +14,43 @@
 
 // TestPlannedChange proves that no planned change breaks a stream or cuts a request.
 func TestPlannedChange(t *testing.T) {
-	cases := map[string]func(*stage){
-		"nothing": func(*stage) {
+	cases := map[string]func(*system){
+		"nothing": func(*system) {
 			time.Sleep(5 * time.Second)
 		},
-		"upstream leaves": func(s *stage) {
+		"upstream leaves": func(s *system) {
 			const id = "ruche-service-3"
-			s.awaitVersion(s.leave(id, true), soon)
-			s.checkNoNew(id)
+			s.awaitVersion(s.setLeaving(id, true), shortLimit)
+			s.checkNoNewWork(id)
 		},
-		"upstream drains by its own word": func(s *stage) {
+		"upstream drains by its own word": func(s *system) {
 			const id = "ruche-service-6"
 			s.Node(id).SetDraining(true)
-			s.checkNoNew(id)
+			s.checkNoNewWork(id)
 		},
-		"instance stops": func(s *stage) {
+		"instance stops": func(s *system) {
 			in := s.Instances[1]
 			s.Stop(in)
 			select {
 			case <-in.Exited():
-			case <-time.After(startLimit):
+			case <-time.After(startTimeout):
 				s.t.Error("instance did not end")
 			}
 			time.Sleep(4 * time.Second)
 		},
-		"instance joins": func(s *stage) {
+		"instance joins": func(s *system) {
 			if _, err := s.AddInstance("jambes"); err != nil {
 				s.t.Fatal(err)
 			}
 			time.Sleep(8 * time.Second)
 		},
-		"keys rotate twice": func(s *stage) {
+		"keys rotate twice": func(s *system) {
 			for epoch := 2; epoch <= 3; epoch++ {
-				s.awaitVersion(s.edit(setEpoch(epoch)), soon)
+				s.awaitVersion(s.edit(setEpoch(epoch)), shortLimit)
 				time.Sleep(5 * time.Second)
 			}
 		},
-		"platform down while instance stops": func(s *stage) {
+		"platform down while instance stops": func(s *system) {
 			s.Store.SetOutage(stand.OutageUnavailable)
 			s.Stop(s.Instances[2])
 			time.Sleep(12 * time.Second)
@@ -60,29 +60,29 @@
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, doubled(fleet.Regie()))
+			s := newSystem(t, withDuplicates(fleet.Regie()))
 			s.startLoad()
-			began := time.Now()
+			start := time.Now()
 			change(s)
-			s.checkUnbroken()
-			s.checkUncut(began)
-			s.checkPromises()
+			s.checkNoStreamBroken()
+			s.checkNoBookingLost(start)
+			s.checkInvariants()
 		})
 	}
 }
 
-// checkNoNew checks that a leaving upstream gets no new work after a few seconds from now.
-func (s *stage) checkNoNew(id string) {
+// checkNoNewWork checks that a leaving upstream gets no new work after a few seconds from now.
+func (s *system) checkNoNewWork(id string) {
 	s.t.Helper()
-	began := time.Now()
-	time.Sleep(soon + 4*time.Second)
-	if late := s.Node(id).Stats().LastArrival; late.After(began.Add(soon)) {
-		s.t.Errorf("leaving upstream got new work %s after the change", late.Sub(began))
+	start := time.Now()
+	time.Sleep(shortLimit + 4*time.Second)
+	if last := s.Node(id).Stats().LastArrival; last.After(start.Add(shortLimit)) {
+		s.t.Errorf("leaving upstream got new work %s after the change", last.Sub(start))
 	}
 }
 
-// doubled makes the fabric send a fifth of callers' packets twice.
-func doubled(setup fleet.Setup) fleet.Setup {
+// withDuplicates makes the fabric send a fifth of callers' packets twice.
+func withDuplicates(setup fleet.Setup) fleet.Setup {
 	setup.Duplicate = 0.2
 	return setup
 }
--- a/internal/proof/whole/promises_test.go
+++ b/internal/proof/whole/promises_test.go
@@ -12,12 +12,12 @@
 const (
 	coldSlots       = 1
 	coldConnections = 50
-	// settleTime lets late answers come before journals are read.
-	settleTime = 1500 * time.Millisecond
+	// lateResponseTime lets late answers come before journals are read.
+	lateResponseTime = 1500 * time.Millisecond
 )
 
 // startLoad sets callers to work and waits until every stream is open.
-func (s *stage) startLoad() {
+func (s *system) startLoad() {
 	s.t.Helper()
 	l, err := drive.Start(drive.Config{
 		Fleet:   s.Fleet,
@@ -33,19 +33,19 @@
 	}
 	s.load = l
 	s.t.Cleanup(l.Stop)
-	ctx, cancel := context.WithTimeout(context.Background(), startLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	if err := l.AwaitStreams(ctx); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// checkPromises checks, against the upstreams' own journals, what must hold under every fault.
-func (s *stage) checkPromises() {
+// checkInvariants checks, against the upstreams' own journals, what must hold under every fault.
+func (s *system) checkInvariants() {
 	s.t.Helper()
 	s.load.Stop()
 	s.logCounters()
-	time.Sleep(settleTime)
+	time.Sleep(lateResponseTime)
 	for _, b := range s.load.Verify(drive.Limits{ColdSlots: coldSlots, ColdConnections: coldConnections}) {
 		s.t.Error(b)
 	}
@@ -53,7 +53,7 @@
 }
 
 // logCounters logs the sum of the counters of all instances.
-func (s *stage) logCounters() {
+func (s *system) logCounters() {
 	sums := map[string]int64{}
 	for _, in := range s.Instances {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -69,8 +69,8 @@
 	s.t.Logf("counters %v", sums)
 }
 
-// checkUncut checks that since then no booking was left without a certain answer.
-func (s *stage) checkUncut(since time.Time) {
+// checkNoBookingLost checks that since then no booking was left without a certain answer.
+func (s *system) checkNoBookingLost(since time.Time) {
 	s.t.Helper()
 	out := s.load.Bookings(since)
 	if n := out[caller.OutcomeUnknown] + out[caller.OutcomeTimeout]; n != 0 {
@@ -81,14 +81,14 @@
 	}
 }
 
-// checkUnbroken checks that no stream broke.
-func (s *stage) checkUnbroken() {
+// checkNoStreamBroken checks that no stream broke.
+func (s *system) checkNoStreamBroken() {
 	s.t.Helper()
-	s.checkOthersUnbroken("")
+	s.checkNoStreamBrokenOutside("")
 }
 
-// checkOthersUnbroken checks that only streams of the domain broke.
-func (s *stage) checkOthersUnbroken(domain model.DomainID) {
+// checkNoStreamBrokenOutside checks that only streams of the domain broke.
+func (s *system) checkNoStreamBrokenOutside(domain model.DomainID) {
 	s.t.Helper()
 	for _, r := range s.load.Broken() {
 		if s.UpstreamDomains()[r.First] != domain {
