--- a/internal/proof/direct/direct_test.go
+++ b/internal/proof/direct/direct_test.go
@@ -19,10 +19,12 @@
 	"hawthorncourse/platform/stand"
 )
 
-// steadyTime is how long a stage runs for a steady measurement.
+// steadyTime is how long the system runs while requests or new flows are counted.
 const steadyTime = 2 * time.Second
 
-// TestPlanned checks that planned changes break no flow and lose no request.
+// TestPlanned guards against planned changes that fail requests or break flows: graceful restarts, changed settings, draining upstreams, failure
+// domains taken out of service, and changed or unreadable configurations. It applies each under load, and checks that the change takes effect
+// within its time bound and that every request is served.
 func TestPlanned(t *testing.T) {
 	cases := map[string]func(*system){
 		"nothing": func(*system) { time.Sleep(steadyTime) },
@@ -37,7 +39,7 @@
 			}
 			time.Sleep(steadyTime)
 		},
-		"settings change, with a signal, without, for the worse, and where they cannot": func(s *system) {
+		"settings change: with a signal, without one, invalid, and fixed at start": func(s *system) {
 			change := func(p *stage.Process, sig bool, want string, edit func(*stand.Settings)) {
 				edit(&p.Settings)
 				s.check(p.WriteSettings())
@@ -57,7 +59,7 @@
 			from := time.Now()
 			time.Sleep(steadyTime)
 			if s.upstreams[0].LastOpening().After(from) {
-				s.t.Error("a leaving upstream got a new flow")
+				s.t.Error("a draining upstream received a new flow")
 			}
 		},
 		"an upstream drains": func(s *system) {
@@ -66,28 +68,28 @@
 			from := time.Now()
 			time.Sleep(steadyTime)
 			if last := s.upstreams[0].LastOpening(); last.After(from) {
-				s.t.Errorf("a leaving upstream got a new flow %s after its word", last.Sub(from)+changeLimit)
+				s.t.Errorf("a draining upstream received a new flow %s after it announced draining", last.Sub(from)+changeLimit)
 			}
 		},
-		"a failure domain is taken out and back": func(s *system) {
+		"a failure domain is taken out of service and returns": func(s *system) {
 			s.Store.EvacuateDomain("east")
 			time.Sleep(changeLimit)
 			from := time.Now()
 			time.Sleep(steadyTime)
 			for _, u := range s.upstreams {
 				if u.Domain() == "east" && u.LastOpening().After(from) {
-					s.t.Errorf("upstream %s of a failure domain that is out got a new flow", u.Name())
+					s.t.Errorf("upstream %s received a new flow although its failure domain is out of service", u.Name())
 				}
 			}
 			s.Store.RestoreDomain("east")
 			time.Sleep(changeLimit)
-			s.await(steadyTime, "new flows in the domain that is back", func() bool { return s.upstreams[0].LastOpening().After(from) })
+			s.await(steadyTime, "new flows in the failure domain that returned to service", func() bool { return s.upstreams[0].LastOpening().After(from) })
 		},
-		"a configuration that nobody understands": func(s *system) {
+		"an unreadable configuration": func(s *system) {
 			s.Store.Corrupt()
 			time.Sleep(changeLimit)
 		},
-		"all other routes come and go": func(s *system) {
+		"a route is added and removed": func(s *system) {
 			s.Store.Configure(2, feed, order, photo, stand.Route{Name: "new", Address: extraAddress, Service: "desk"})
 			time.Sleep(changeLimit)
 			f, err := s.Callers[0].Open(s.ctx, extraAddress)
@@ -96,7 +98,7 @@
 			s.Store.Configure(5, feed, order, photo)
 			time.Sleep(changeLimit)
 			if _, err := s.Callers[0].Open(s.ctx, extraAddress); err == nil {
-				s.t.Error("a route that is removed is still served")
+				s.t.Error("a removed route is still served")
 			}
 		},
 	}
@@ -112,11 +114,13 @@
 	}
 }
 
-// TestFaults checks that faults pass over soon, and that nothing untrue is said meanwhile.
+// TestFaults guards against faults that affect requests for longer than allowed: killed instances, an unresponsive upstream, and outages, delays
+// and lost history of the store. It injects each under load, and checks that all requests are served once the settle time has passed and that
+// the invariants hold throughout.
 func TestFaults(t *testing.T) {
 	cases := map[string]struct {
 		fault func(*system)
-		// settle is how long requests may fail after the fault.
+		// settle is how long requests may fail after the fault; zero if none may fail after it.
 		settle time.Duration
 		after  func(*system)
 	}{
@@ -132,16 +136,16 @@
 			},
 			settle: changeLimit,
 		},
-		"an upstream falls silent": {
+		"an upstream becomes unresponsive": {
 			fault:  func(s *system) { s.check(s.upstreams[0].SetUnresponsive(true)) },
 			settle: time.Second,
 		},
-		"the store turns everybody away": {fault: func(s *system) { s.Store.SetOutage(stand.OutageUnavailable) }},
-		"the store's rate is spent":      {fault: func(s *system) { s.Store.SetOutage(stand.OutageRateLimited) }},
-		"the store goes silent":          {fault: func(s *system) { s.Store.SetOutage(stand.OutageHang) }},
-		"the store resets connections":   {fault: func(s *system) { s.Store.SetOutage(stand.OutageReset) }},
-		"the store is slow":              {fault: func(s *system) { s.Store.SetDelay(300 * time.Millisecond) }},
-		"the store keeps changes to itself and forgets them, and an upstream drains": {
+		"the store is unavailable":     {fault: func(s *system) { s.Store.SetOutage(stand.OutageUnavailable) }},
+		"the store limits the rate":    {fault: func(s *system) { s.Store.SetOutage(stand.OutageRateLimited) }},
+		"the store hangs":              {fault: func(s *system) { s.Store.SetOutage(stand.OutageHang) }},
+		"the store resets connections": {fault: func(s *system) { s.Store.SetOutage(stand.OutageReset) }},
+		"the store is slow":            {fault: func(s *system) { s.Store.SetDelay(300 * time.Millisecond) }},
+		"the store drops its history while an upstream drains": {
 			fault: func(s *system) {
 				s.Store.StallWatches(true)
 				s.upstreams[0].Drain()
@@ -154,21 +158,21 @@
 				from := time.Now()
 				time.Sleep(steadyTime)
 				if s.upstreams[0].LastOpening().After(from) {
-					s.t.Error("a leaving upstream still gets new flows")
+					s.t.Error("a draining upstream still receives new flows")
 				}
 			},
 		},
-		"an instance starts while the store is away": {
+		"an instance starts while the store hangs": {
 			fault: func(s *system) {
 				s.Store.SetOutage(stand.OutageHang)
 				s.stopAndStart(s.Processes[2])
 			},
 			settle: 2 * time.Second,
 			after: func(s *system) {
-				s.await(startTimeout, "an instance that started without the store is ready", s.Processes[2].Ready)
+				s.await(startTimeout, "readiness of an instance that started without the store", s.Processes[2].Ready)
 			},
 		},
-		"entries lapse while the store is away": {
+		"entries of upstreams expire while the store is unavailable": {
 			fault: func(s *system) {
 				s.Store.SetOutage(stand.OutageUnavailable)
 				time.Sleep(2 * time.Second)
@@ -182,7 +186,7 @@
 				}
 			},
 		},
-		"the instance that reads for its domain is killed, then an upstream drains": {
+		"the reader of a domain is killed, then an upstream drains": {
 			fault: func(s *system) {
 				for _, p := range s.Processes[:2] {
 					s.killAndStart(p)
@@ -194,7 +198,7 @@
 				from := time.Now()
 				time.Sleep(steadyTime)
 				if s.upstreams[1].LastOpening().After(from) {
-					s.t.Error("a leaving upstream still gets new flows")
+					s.t.Error("a draining upstream still receives new flows")
 				}
 			},
 		},
@@ -217,7 +221,8 @@
 	}
 }
 
-// TestStatusReport checks what operators are shown of an instance: by its report, by the command that prints it, and as metrics.
+// TestStatusReport guards against status reports that omit or misstate what operators need. It checks one instance's status report, the output
+// of the status command and the metrics, with a failure domain out of service and unreadable entries in the registry.
 func TestStatusReport(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -226,7 +231,7 @@
 	s.Store.CorruptUpstreams()
 	p := s.Processes[0]
 	var w status.WireRelayReport
-	s.await(startTimeout, "the instance has a number and knows what is out", func() bool {
+	s.await(startTimeout, "ordinal and failure domains out of service in the status report", func() bool {
 		var err error
 		w, err = status.FetchRelay(s.ctx, p.MetricsAddress())
 		return err == nil && w.OrdinalCount > 0 && len(w.DomainsOut) == 1
@@ -252,7 +257,8 @@
 	}
 }
 
-// TestCheckCommand checks what the command that checks files says of those of the platform.
+// TestCheckCommand guards against invalid files that the check command accepts, and valid ones that it rejects. It passes the platform's
+// settings and configurations on standard input; an error must name the field or route at fault.
 func TestCheckCommand(t *testing.T) {
 	good := string(stand.Settings{Name: "a", Domain: "east", Packets: feedAddress, Ready: feedAddress, Control: feedAddress, Store: feedAddress}.TOML())
 	routes := `{"version":7,"routes":[{"name":"a","hostname":"198.18.0.1","path-prefix":"/443/","route-type":"safe","service":"desk"}],"services":[]}`
@@ -277,7 +283,8 @@
 	}
 }
 
-// TestInvalidSettings checks that bad settings end the program with a line that names the field.
+// TestInvalidSettings guards against unclear failures at start. Invalid settings must end the program with exit code 2 and one line that names
+// the field.
 func TestInvalidSettings(t *testing.T) {
 	good := string(stand.Settings{Name: "a", Domain: "east", Packets: feedAddress, Ready: feedAddress, Control: feedAddress, Store: feedAddress}.TOML())
 	cases := map[string]struct {
@@ -287,7 +294,7 @@
 		"no file":                   {want: "no such file"},
 		"not in the format":         {text: "node-name = [", want: "line 1"},
 		"a field is missing":        {text: strings.Replace(good, "ready-addr", "other", 1), want: "listen.ready-addr is missing"},
-		"an address is no one":      {text: strings.Replace(good, "198.18.0.1:443", "here", 1), want: "must be an IP address and a port"},
+		"an address is invalid":     {text: strings.Replace(good, "198.18.0.1:443", "here", 1), want: "must be an IP address and a port"},
 		"a field of the wrong type": {text: strings.Replace(good, `zone = "east"`, "zone = 5", 1), want: "zone"},
 	}
 	for name, tc := range cases {
--- a/internal/proof/direct/harness_test.go
+++ b/internal/proof/direct/harness_test.go
@@ -1,4 +1,5 @@
-// Package direct proves flows that upstreams answer directly, by processes that run as programs between stand-ins of the platform.
+// Package direct tests direct server return end to end: relay instances run as separate processes, and upstreams answer callers directly. The
+// platform's store, the upstreams and the callers are fakes.
 package direct
 
 import (
@@ -17,23 +18,23 @@
 
 const (
 	startTimeout = 15 * time.Second
-	// changeLimit is the users' bound for every change.
+	// changeLimit is the users' time bound within which every change must be in force.
 	changeLimit = 3 * time.Second
-	// stopLimit is the users' grace, after which a process would be killed.
+	// stopLimit is the users' grace period, after which the platform would kill a stopping process.
 	stopLimit = 6 * time.Second
-	// requestTimeout and work are those of the users' smaller requests.
+	// requestTimeout and requestTime are those of the users' smaller requests.
 	requestTimeout = 2500 * time.Millisecond
 	requestTime    = 20 * time.Millisecond
 	// thinkTime is a caller's pause between two requests.
 	thinkTime   = 30 * time.Millisecond
 	concurrency = 6
-	// firstSubnet is the second byte of the first stage's loopback addresses.
+	// firstSubnet plus an environment's number is the second byte of the environment's loopback addresses.
 	firstSubnet = 40
 )
 
 var (
 	binary string
-	// subnets numbers the stages, so that those that run at once do not meet.
+	// subnets numbers the environments, so that those of parallel tests use separate addresses.
 	subnets atomic.Int32
 
 	feedAddress  = netip.MustParseAddrPort("198.18.0.1:443")
@@ -59,7 +60,7 @@
 	os.Exit(code)
 }
 
-// system is a stage with its load.
+// system is an environment of processes and fakes under load.
 type system struct {
 	*stage.Environment
 	t         *testing.T
@@ -68,7 +69,7 @@
 	load      *crowd.Generator
 }
 
-// newSystem starts two instances and three upstreams in each of two failure domains, and callers.
+// newSystem starts two instances and three upstreams in each of two failure domains, and the load. It stops them when the test ends.
 func newSystem(t *testing.T) *system {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -101,6 +102,7 @@
 	return s
 }
 
+// check fails the test immediately on an error.
 func (s *system) check(err error) {
 	s.t.Helper()
 	if err != nil {
@@ -108,6 +110,7 @@
 	}
 }
 
+// await waits until the condition holds and fails the test after the timeout; what describes the condition.
 func (s *system) await(timeout time.Duration, what string, condition func() bool) {
 	s.t.Helper()
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
@@ -115,18 +118,19 @@
 			return
 		}
 	}
-	s.t.Fatalf("%s: not within %s", what, timeout)
+	s.t.Fatalf("timeout: %s: not the case within %s", what, timeout)
 }
 
-// checkServed checks that every request since the last reset of counts was served.
+// checkServed checks that every request since the counts were last reset was served and no flow broke.
 func (s *system) checkServed() {
 	s.t.Helper()
 	if c := s.load.Counts(); c.Failed > 0 || c.BrokenFlows > 0 || c.Served == 0 {
-		s.t.Errorf("%d served, %d failed, %d flows broken", c.Served, c.Failed, c.BrokenFlows)
+		s.t.Errorf("%d requests served, %d failed, %d flows broken", c.Served, c.Failed, c.BrokenFlows)
 	}
 }
 
-// checkInvariants checks what must hold in every run: nothing runs twice, nothing crosses services, no packet is changed.
+// checkInvariants checks what must hold in every run: no request runs twice or reaches another service, no packet is altered, and no process
+// exits unexpectedly.
 func (s *system) checkInvariants() {
 	s.t.Helper()
 	s.load.Stop()
@@ -141,7 +145,7 @@
 	}
 	for id, n := range executions {
 		if n > 1 {
-			s.t.Errorf("%s ran %d times", id, n)
+			s.t.Errorf("request %s ran %d times", id, n)
 		}
 	}
 	for _, fault := range s.load.WrongResponses() {
@@ -149,7 +153,7 @@
 	}
 	for _, c := range s.Callers {
 		if n := c.CorruptPackets(); n > 0 {
-			s.t.Errorf("%d packets reached callers changed", n)
+			s.t.Errorf("%d corrupt packets reached a caller", n)
 		}
 	}
 	for _, p := range s.Processes {
@@ -159,13 +163,13 @@
 	}
 }
 
-// stopAndStart ends an instance by its planned stop and starts it again.
+// stopAndStart stops an instance gracefully and starts it again.
 func (s *system) stopAndStart(p *stage.Process) {
 	s.t.Helper()
 	code, err := p.Stop(stopLimit)
 	s.check(err)
 	if code != 0 {
-		s.t.Errorf("a planned stop ends with code %d", code)
+		s.t.Errorf("graceful stop: exit code %d", code)
 	}
 	s.check(p.Start())
 }
--- a/internal/proof/soak/checks_test.go
+++ b/internal/proof/soak/checks_test.go
@@ -16,22 +16,23 @@
 )
 
 const (
-	// probeInterval is the pause between two flows that go to one instance alone.
+	// probeInterval is the pause between two route probes.
 	probeInterval = 50 * time.Millisecond
-	// restartDetectionLimit is when instances know that an upstream has restarted under its name. Until the registry says so, only an instance that
-	// missed an answer meanwhile can tell: in seed 16 one placed its next flow after 431 ms, when the upstream was back.
+	// restartDetectionLimit is the time within which instances detect that an upstream has restarted under its name. Until the registry shows
+	// the restart, only an instance that missed a response in between can detect it: with seed 16, one instance placed its next flow 431 ms after
+	// the previous one, when the upstream was up again.
 	restartDetectionLimit = 1200 * time.Millisecond
-	// deliveryTime is how long an answer that is on its way may take to arrive.
+	// deliveryTime is how long a response in flight may take to arrive.
 	deliveryTime = 200 * time.Millisecond
 )
 
-// changeTimes are what the store had acknowledged, with the instant of each acknowledgement.
+// changeTimes holds when the store acknowledged each change; the time bounds of the checks count from there.
 type changeTimes struct {
-	// drained holds the instant at which each upstream said that it would leave, or its entry went, by name.
+	// drained holds when each upstream was marked as draining or its entry was removed, by upstream name.
 	drained map[string]time.Time
-	// evacuations holds the times in which each failure domain was out.
+	// evacuations holds the intervals in which each failure domain was out of service.
 	evacuations map[string][]*interval
-	// added and removed hold the instants at which routes came and went, by address.
+	// added and removed hold when each route was added and removed, by address.
 	added, removed map[netip.AddrPort]time.Time
 }
 
@@ -39,18 +40,18 @@
 	return changeTimes{drained: map[string]time.Time{}, evacuations: map[string][]*interval{}, added: map[netip.AddrPort]time.Time{}, removed: map[netip.AddrPort]time.Time{}}
 }
 
-// probe is one flow that was opened through one instance to see which routes it knows.
+// probe is the result of one attempt to open a flow to a route through one instance, which shows whether the instance serves the route.
 type probe struct {
 	instance string
-	// pid tells the starts of one instance apart.
+	// pid distinguishes the processes of an instance that was restarted.
 	pid     int
 	address netip.AddrPort
 	at      time.Time
-	// opened and refused are both false if there was no answer.
+	// opened and refused are both false if no response arrived.
 	opened, refused bool
 }
 
-// probeRoutes opens flows through single instances to the routes that come and go.
+// probeRoutes probes routes that were added during the run, each time through one random instance.
 func (r *run) probeRoutes(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		time.Sleep(probeInterval)
@@ -78,6 +79,7 @@
 	}
 }
 
+// randomRoute returns the address of a route that was added during the run; ok is false if there is none.
 func (r *run) randomRoute(rng *rand.Rand) (addr netip.AddrPort, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,7 +92,8 @@
 	return addr, false
 }
 
-// checkReset checks at once that an open flow was not reset while its upstream lives unharmed.
+// checkReset checks, when a caller receives a reset, that its flow was not open at an upstream that no fault affects. It runs while the
+// reset arrives, since the flow's state at the upstream is not recorded.
 func (r *run) checkReset(e *stand.ResetError) {
 	now := time.Now()
 	for _, u := range r.Upstreams() {
@@ -99,14 +102,15 @@
 		}
 		sender := r.instanceAt(e.By)
 		if sender != "" && r.faultLog.boundsApply(sender, now) {
-			r.addViolation("%s reset flow %s, which is open at %s", sender, e.Flow.Caller, u.Name())
+			r.addViolation("instance %s reset flow %s, which is open at upstream %s", sender, e.Flow.Caller, u.Name())
 		}
 		if sender == "" && r.boundsApplyToAll(now) {
-			r.addViolation("flow %s, which is open at %s, was reset by another upstream", e.Flow.Caller, u.Name())
+			r.addViolation("flow %s, which is open at upstream %s, was reset by another upstream", e.Flow.Caller, u.Name())
 		}
 	}
 }
 
+// boundsApplyToAll reports whether the time bounds apply to every instance at the instant.
 func (r *run) boundsApplyToAll(at time.Time) bool {
 	for _, p := range r.Processes {
 		if !r.faultLog.boundsApply(p.Settings.Name, at) {
@@ -116,7 +120,7 @@
 	return true
 }
 
-// instanceAt returns the name of the instance that sends from the address.
+// instanceAt returns the name of the instance that sends from the address, or the empty string if none does.
 func (r *run) instanceAt(addr netip.Addr) string {
 	for _, p := range r.Processes {
 		if p.Settings.Packets.Addr() == addr {
@@ -126,22 +130,22 @@
 	return ""
 }
 
-// checkRecovery checks that everything is served once all faults are over.
+// checkRecovery checks that every request is served after all faults are over, and that no process has used too much memory.
 func (r *run) checkRecovery() {
 	time.Sleep(recoveryTime)
 	r.load.ResetCounts()
 	time.Sleep(steadyTime)
 	if c := r.load.Counts(); c.Failed > 0 || c.BrokenFlows > 0 || c.Served == 0 {
-		r.addViolation("after recovery %d served, %d failed, %d flows broken", c.Served, c.Failed, c.BrokenFlows)
+		r.addViolation("after recovery: %d requests served, %d failed, %d flows broken", c.Served, c.Failed, c.BrokenFlows)
 	}
 	for _, p := range r.Processes {
 		if kb := peakMemory(p); p.Running() && kb > memoryLimitKB {
-			r.addViolation("%s has held %d KB", p.Settings.Name, kb)
+			r.addViolation("instance %s: peak memory of %d KB exceeds the limit", p.Settings.Name, kb)
 		}
 	}
 }
 
-// peakMemory returns the most memory that a process has held, in KB; zero if nobody can tell.
+// peakMemory returns the peak resident memory of a process in KB, or zero if it can't be read.
 func peakMemory(p *stage.Process) int {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(p.PID()) + "/status")
 	if err != nil {
@@ -156,7 +160,7 @@
 	return 0
 }
 
-// checkAll checks what was recorded.
+// checkAll checks everything that was recorded during the run.
 func (r *run) checkAll() {
 	time.Sleep(deliveryTime)
 	r.checkExecutions()
@@ -174,23 +178,23 @@
 	}
 }
 
-// checkExecutions checks that nothing ran twice, crossed services or was changed.
+// checkExecutions checks that no request ran twice or at another service, and that no packet or response was altered.
 func (r *run) checkExecutions() {
 	executions := map[string]int{}
 	for _, u := range r.Upstreams() {
 		for _, fault := range u.Violations() {
-			r.addViolation("%s: %s", u.Name(), fault)
+			r.addViolation("upstream %s: %s", u.Name(), fault)
 		}
 		for id, n := range u.Executions() {
 			executions[id] += n
 			if service := serviceOf(id); service != u.Service() {
-				r.addViolation("%s ran %s, which is for %s", u.Name(), id, service)
+				r.addViolation("upstream %s ran request %s, which is for service %s", u.Name(), id, service)
 			}
 		}
 	}
 	for id, n := range executions {
 		if n > 1 {
-			r.addViolation("%s ran %d times", id, n)
+			r.addViolation("request %s ran %d times", id, n)
 		}
 	}
 	for _, fault := range r.load.WrongResponses() {
@@ -198,11 +202,12 @@
 	}
 	for _, c := range r.Callers {
 		if n := c.CorruptPackets(); n > 0 {
-			r.addViolation("%d packets reached callers changed", n)
+			r.addViolation("%d corrupt packets reached a caller", n)
 		}
 	}
 }
 
+// serviceOf returns the service that a request is meant for, by the workload's name at the start of its ID.
 func serviceOf(id string) string {
 	if strings.HasPrefix(id, "photo") {
 		return "claims"
@@ -210,7 +215,7 @@
 	return "desk"
 }
 
-// checkDrained checks that an upstream that leaves gets no new flow after the bound.
+// checkDrained checks that an upstream that drains or whose entry is removed receives no new flow after the time bound.
 func (r *run) checkDrained(u *stand.Upstream) {
 	since, drained := r.changes.drained[u.Name()]
 	if !drained {
@@ -219,29 +224,31 @@
 	for _, o := range u.Openings() {
 		sender := r.instanceAt(o.From)
 		if o.At.Sub(since) > drainLimit && r.faultLog.boundsApply(sender, o.At) {
-			r.addViolation("at %s %s sent flow %s to %s, which said %s before that it leaves", r.timestamp(o.At), sender, o.Flow.Caller, u.Name(), o.At.Sub(since))
+			r.addViolation("at %s: instance %s opened flow %s at upstream %s, which was marked as draining or removed %s before",
+				r.timestamp(o.At), sender, o.Flow.Caller, u.Name(), o.At.Sub(since))
 		}
 	}
 }
 
-// checkEvacuated checks that a failure domain that is out gets no new flow after the bound.
+// checkEvacuated checks that a failure domain that is out of service receives no new flow after the time bound.
 func (r *run) checkEvacuated(u *stand.Upstream) {
 	for _, out := range r.changes.evacuations[u.Domain()] {
 		for _, o := range u.Openings() {
 			sender := r.instanceAt(o.From)
 			if o.At.Sub(out.start) > evacuationLimit && (out.end.IsZero() || o.At.Before(out.end)) && r.faultLog.boundsApply(sender, o.At) {
-				r.addViolation("at %s %s sent flow %s to %s, whose domain was out for %s", r.timestamp(o.At), sender, o.Flow.Caller, u.Name(), o.At.Sub(out.start))
+				r.addViolation("at %s: instance %s opened flow %s at upstream %s, whose failure domain had been out of service for %s",
+					r.timestamp(o.At), sender, o.Flow.Caller, u.Name(), o.At.Sub(out.start))
 			}
 		}
 	}
 }
 
-// checkColdStart checks that a cold upstream gets no more flows in any second than it bears.
+// checkColdStart checks that a cold upstream receives no more new flows in any second than its cold-start limit allows.
 func (r *run) checkColdStart(u *stand.Upstream) {
 	runs, openings := u.Runs(), u.Openings()
 	for n, current := range runs {
 		if n == 0 && current.Started.Before(r.started.Add(coldStartTime)) {
-			// It started before the traffic.
+			// This upstream was warm before the load started.
 			continue
 		}
 		downtime := time.Duration(0)
@@ -250,7 +257,7 @@
 		}
 		var coldOpenings []stand.Opening
 		for _, o := range openings {
-			// Who cannot read the registry cannot tell a restart under the same name, see restartKnownBy.
+			// An instance that can't read the registry can't detect a restart under the same name; see restartDetectionLimit.
 			detected := n == 0 || (o.At.Sub(current.Started) > restartDetectionLimit && r.faultLog.boundsApply(r.instanceAt(o.From), o.At))
 			if detected && o.At.After(current.Started) && o.At.Before(current.WarmAt) {
 				coldOpenings = append(coldOpenings, o)
@@ -258,7 +265,7 @@
 		}
 		for i := coldFlowLimit; i < len(coldOpenings); i++ {
 			if coldOpenings[i].At.Sub(coldOpenings[i-coldFlowLimit].At) < time.Second {
-				r.addViolation("at %s %s got %d flows in a second, %s after its start that followed %s of silence: %s",
+				r.addViolation("at %s: upstream %s received %d new flows within one second, %s after a start that followed %s of downtime: %s",
 					r.timestamp(coldOpenings[i].At), u.Name(), coldFlowLimit+1, coldOpenings[i].At.Sub(current.Started), downtime, r.describeSenders(coldOpenings[i-coldFlowLimit:i+1]))
 				break
 			}
@@ -266,17 +273,17 @@
 	}
 }
 
-// describeSenders tells who sent opening packets, and whether they were in touch.
+// describeSenders lists the instances that opened the flows, and whether the time bounds applied to them.
 func (r *run) describeSenders(openings []stand.Opening) string {
 	var senders []string
 	for _, o := range openings {
 		name := r.instanceAt(o.From)
-		senders = append(senders, fmt.Sprintf("%s at %s (in touch: %v)", name, r.timestamp(o.At), r.faultLog.boundsApply(name, o.At)))
+		senders = append(senders, fmt.Sprintf("%s at %s (bounds apply: %v)", name, r.timestamp(o.At), r.faultLog.boundsApply(name, o.At)))
 	}
 	return strings.Join(senders, ", ")
 }
 
-// checkRoutes checks that routes are served and refused as the configuration says, after the bound.
+// checkRoutes checks that added routes are served, and removed ones refused, after the time bound.
 func (r *run) checkRoutes() {
 	for _, p := range r.probes {
 		added, removed := r.changes.added[p.address], r.changes.removed[p.address]
@@ -285,14 +292,15 @@
 		switch {
 		case !r.faultLog.boundsApply(p.instance, p.at.Add(deliveryTime)):
 		case mustRefuse && p.opened:
-			r.addViolation("at %s %s opens a flow to %s, which was removed %s before", r.timestamp(p.at), p.instance, p.address, p.at.Sub(removed))
+			r.addViolation("at %s: instance %s opened a flow to route %s, which was removed %s before", r.timestamp(p.at), p.instance, p.address, p.at.Sub(removed))
 		case mustServe && p.refused && r.injector.deskAvailable(p.at):
-			r.addViolation("at %s %s refuses %s, which was added %s before", r.timestamp(p.at), p.instance, p.address, p.at.Sub(added))
+			r.addViolation("at %s: instance %s refused route %s, which was added %s before", r.timestamp(p.at), p.instance, p.address, p.at.Sub(added))
 		}
 	}
 }
 
-// checkNoRollback checks that no start of an instance goes back to an older configuration.
+// checkNoRollback checks that no process goes back to an older configuration: once it has
+// served an added route or refused a removed one, it must not revert.
 func (r *run) checkNoRollback() {
 	for i, earlier := range r.probes {
 		for _, later := range r.probes[i+1:] {
@@ -306,10 +314,10 @@
 			removed := r.changes.removed[later.address]
 			exists := removed.IsZero() || later.at.Add(deliveryTime).Before(removed)
 			if later.at.Sub(earlier.at) > slack && earlier.opened && later.refused && exists && r.injector.deskAvailable(later.at) {
-				r.addViolation("at %s %s refuses %s, which it served %s before", r.timestamp(later.at), later.instance, later.address, later.at.Sub(earlier.at))
+				r.addViolation("at %s: instance %s refused route %s, which it served %s before", r.timestamp(later.at), later.instance, later.address, later.at.Sub(earlier.at))
 			}
 			if later.at.Sub(earlier.at) > slack && earlier.refused && later.opened && !removed.IsZero() && earlier.at.After(removed) && r.injector.deskAvailable(earlier.at) {
-				r.addViolation("at %s %s opens a flow to %s, which it refused %s before", r.timestamp(later.at), later.instance, later.address, later.at.Sub(earlier.at))
+				r.addViolation("at %s: instance %s opened a flow to route %s, which it refused %s before", r.timestamp(later.at), later.instance, later.address, later.at.Sub(earlier.at))
 			}
 		}
 	}
--- a/internal/proof/soak/ledger_test.go
+++ b/internal/proof/soak/faultlog_test.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// storeComponent is the subject of faults that concern the store for everybody.
+// storeComponent is the component name for faults of the store that affect all instances.
 const storeComponent = "store"
 
-// interval is the time of one fault; to is zero while it lasts.
+// interval is the time of one fault; end is zero while the fault lasts.
 type interval struct {
 	start, end time.Time
 }
 
-// faultLog keeps when each party was harmed.
+// faultLog records the intervals in which a fault affected each component: an instance, an upstream or the store.
 type faultLog struct {
 	mu sync.Mutex
-	// intervals is guarded by mu.
+	// intervals is keyed by the component's name and guarded by mu.
 	intervals map[string][]*interval
 }
 
-// begin notes that a fault of the parties begins; the returned function notes its end.
+// begin records the start of a fault that affects the components; the returned function records its end.
 func (l *faultLog) begin(components ...string) (end func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,7 +39,7 @@
 	}
 }
 
-// undisturbed reports whether nothing harmed the party between two instants.
+// undisturbed reports whether no fault affected the component between two instants.
 func (l *faultLog) undisturbed(component string, from, to time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,16 +51,17 @@
 	return true
 }
 
-// boundsApply reports whether bounds hold for an instance at the instant: it and the store were calm for the stability window.
+// boundsApply reports whether the time bounds apply to an instance at the instant: no fault affected it or the store within the stability window.
 func (l *faultLog) boundsApply(instance string, at time.Time) bool {
 	from := at.Add(-stabilityWindow)
 	return l.undisturbed(instance, from, at) && l.undisturbed(storeComponent, from, at)
 }
 
-// links holds which parties cannot reach which, and how late bytes are between them.
+// links holds the faults of the network between components, for each direction as a pair of sender and receiver.
 type links struct {
 	mu sync.Mutex
-	// All below is guarded by mu; cuts counts the faults that block a direction.
+	// All below is guarded by mu.
+	// blockCounts counts the faults that block a direction at present, since several may overlap.
 	blockCounts map[[2]string]int
 	delays      map[[2]string]time.Duration
 }
@@ -79,21 +80,21 @@
 	return l.delays[[2]string{from, to}]
 }
 
-// block cuts one direction once more.
+// block adds one fault that blocks the direction.
 func (l *links) block(from, to string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.blockCounts[[2]string{from, to}]++
 }
 
-// unblock takes one cut back.
+// unblock removes one fault that blocks the direction.
 func (l *links) unblock(from, to string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.blockCounts[[2]string{from, to}]--
 }
 
-// setDelay sets how late bytes arrive; zero for on time.
+// setDelay sets the delay of the direction; zero for none.
 func (l *links) setDelay(from, to string, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/proof/soak/faults_test.go
+++ b/internal/proof/soak/faults_test.go
@@ -11,31 +11,34 @@
 )
 
 const (
-	// entryExpiry is when the entry of an upstream that says nothing goes.
+	// entryExpiry is the time after which the platform removes the entry of an upstream that is down.
 	entryExpiry = 3600 * time.Millisecond
-	// addressReuseDelay is the least time from an upstream's end to the next use of its address.
+	// addressReuseDelay is the minimum time between the end of an upstream and the reuse of its address.
 	addressReuseDelay = 2 * time.Second
-	// reregistrationTime is when entries that lapsed during an outage are back.
+	// reregistrationTime is how long the upstreams take to restore entries that expired during an outage of the store.
 	reregistrationTime = 2 * time.Second
-	// packetLossRate is the part of packets that a lossy network loses.
+	// packetLossRate is the fraction of callers' packets that is lost.
 	packetLossRate = 0.1
-	// slowFactor is how much longer the requests of a slow upstream take.
+	// slowFactor multiplies the request time of a slow upstream.
 	slowFactor = 5
-	// startupTime is how long a process may take on a busy machine until its program runs; before, the system itself ends it at any signal.
-	startupTime       = 500 * time.Millisecond
+	// startupTime is how long a process may take on a busy machine to install its signal handlers; until then, any signal terminates it.
+	startupTime = 500 * time.Millisecond
+	// simultaneousKills is how many instances one fault kills at the same time.
 	simultaneousKills = 4
-	burstSize         = 10
+	// burstSize is how many routes changeManyRoutes adds.
+	burstSize = 10
 )
 
 var outages = []stand.Outage{stand.OutageUnavailable, stand.OutageRateLimited, stand.OutageHang, stand.OutageReset}
 
-// restart starts a process that has ended.
+// restart starts a process that has exited.
 func (inj *injector) restart(p *stage.Process) {
 	if err := p.Start(); err != nil {
 		inj.addViolation("%v", err)
 	}
 }
 
+// kill kills one instance and restarts it after the short time.
 func (inj *injector) kill(d draw) {
 	inj.killOne(inj.processAt(d.process), d.short)
 }
@@ -44,13 +47,13 @@
 	inj.processLocks[p].Lock()
 	defer inj.processLocks[p].Unlock()
 	defer inj.faultLog.begin(p.Settings.Name)()
-	inj.logEvent("%s is killed for %s", p.Settings.Name, downtime)
+	inj.logEvent("instance %s killed, restart after %s", p.Settings.Name, downtime)
 	p.Kill()
 	time.Sleep(downtime)
 	inj.restart(p)
 }
 
-// killSeveral kills several at once, or all of one failure domain.
+// killSeveral kills several instances at the same time, or all of one failure domain, and restarts them.
 func (inj *injector) killSeveral(d draw) {
 	done := make(chan struct{})
 	n := 0
@@ -68,16 +71,17 @@
 	}
 }
 
+// stop stops one instance gracefully and restarts it. It must exit in time with code zero, unless it was just starting or was paused meanwhile.
 func (inj *injector) stop(d draw) {
 	p := inj.processAt(d.process)
 	inj.processLocks[p].Lock()
 	defer inj.processLocks[p].Unlock()
 	name, started, starting := p.Settings.Name, time.Now(), p.Uptime() < startupTime
 	defer inj.faultLog.begin(name)()
-	inj.logEvent("%s stops", name)
+	inj.logEvent("instance %s stops gracefully", name)
 	code, err := p.Stop(stopLimit)
 	if paused := !inj.faultLog.undisturbed("pause "+name, started, time.Now()); !starting && !paused && (err != nil || code != 0) {
-		inj.addViolation("the planned stop of %s ends with code %d, %v", name, code, err)
+		inj.addViolation("graceful stop of %s: exit code %d, error %v", name, code, err)
 	}
 	if err != nil {
 		p.Kill()
@@ -86,17 +90,18 @@
 	inj.restart(p)
 }
 
+// pause suspends the process of one instance by SIGSTOP, so that it resumes with outdated state.
 func (inj *injector) pause(d draw) {
 	p := inj.processAt(d.process)
 	name := p.Settings.Name
 	defer inj.faultLog.begin(name, "pause "+name)()
-	inj.logEvent("%s stands still for %s", name, d.long/2)
+	inj.logEvent("instance %s paused for %s", name, d.long/2)
 	p.Signal(syscall.SIGSTOP)
 	time.Sleep(d.long / 2)
 	p.Signal(syscall.SIGCONT)
 }
 
-// reload changes a settings file, with a signal or without.
+// reload changes the seed instances in a settings file, and in one variant signals the process; otherwise the process must notice the change itself.
 func (inj *injector) reload(d draw) {
 	p := inj.processAt(d.process)
 	inj.processLocks[p].Lock()
@@ -110,7 +115,8 @@
 	}
 }
 
-// partition separates two groups of parties for a time; the store is on no side. Every party is harmed.
+// partition blocks all links between the components inside a group and those outside for a time; the store stays reachable from both sides.
+// It is recorded as a fault of every component.
 func (inj *injector) partition(inside func(domain, name string) bool, d time.Duration) {
 	var components []string
 	var pairs [][2]string
@@ -141,7 +147,7 @@
 	inj.updateUpstreamPartitions()
 }
 
-// updateUpstreamPartitions tells every upstream whom it cannot hear.
+// updateUpstreamPartitions sets, at every upstream, the instances whose packets it drops according to the blocked links.
 func (inj *injector) updateUpstreamPartitions() {
 	inj.mu.Lock()
 	defer inj.mu.Unlock()
@@ -158,9 +164,9 @@
 	}
 }
 
-// partitionDomain cuts a failure domain from the others, and from the store or not.
+// partitionDomain partitions a failure domain from the others, and in one variant also from the store.
 func (inj *injector) partitionDomain(d draw) {
-	inj.logEvent("%s is cut off for %s, from the store too: %v", d.domain, d.long, d.variant)
+	inj.logEvent("failure domain %s partitioned for %s, also from the store: %v", d.domain, d.long, d.variant)
 	if d.variant {
 		for _, p := range inj.Processes {
 			if p.Settings.Domain == d.domain {
@@ -172,9 +178,10 @@
 	inj.partition(func(domain, _ string) bool { return domain == d.domain }, d.long)
 }
 
+// partitionInstance partitions one instance from all others and from the upstreams, and in one variant also from the store.
 func (inj *injector) partitionInstance(d draw) {
 	p := inj.processAt(d.process)
-	inj.logEvent("%s is cut off for %s, from the store too: %v", p.Settings.Name, d.long, d.variant)
+	inj.logEvent("instance %s partitioned for %s, also from the store: %v", p.Settings.Name, d.long, d.variant)
 	if d.variant {
 		p.StoreProxy.SetOutage(stand.OutageHang)
 		defer p.StoreProxy.SetOutage(stand.OutageNone)
@@ -182,32 +189,34 @@
 	inj.partition(func(_, name string) bool { return name == p.Settings.Name }, d.long)
 }
 
-// blockOneDirection lets nothing from one instance reach another.
+// blockOneDirection drops everything that one instance sends to another, but not the opposite direction.
 func (inj *injector) blockOneDirection(d draw) {
 	a, b := inj.processAt(d.process).Settings.Name, inj.processAt(d.other).Settings.Name
 	defer inj.faultLog.begin(a, b)()
-	inj.logEvent("nothing of %s reaches %s for %s", a, b, d.long)
+	inj.logEvent("link from %s to %s blocked for %s", a, b, d.long)
 	inj.links.block(a, b)
 	time.Sleep(d.long)
 	inj.links.unblock(a, b)
 }
 
+// delayLinks delays what one instance sends to another.
 func (inj *injector) delayLinks(d draw) {
 	a, b := inj.processAt(d.process).Settings.Name, inj.processAt(d.other).Settings.Name
 	defer inj.faultLog.begin(a, b)()
-	inj.logEvent("bytes of %s reach %s %s late for %s", a, b, d.short, d.long)
+	inj.logEvent("link from %s to %s delayed by %s for %s", a, b, d.short, d.long)
 	inj.links.setDelay(a, b, d.short)
 	time.Sleep(d.long)
 	inj.links.setDelay(a, b, 0)
 }
 
+// resetConnections closes the connections that one instance has opened to other instances.
 func (inj *injector) resetConnections(d draw) {
 	p := inj.processAt(d.process)
 	defer inj.faultLog.begin(p.Settings.Name)()
 	inj.ResetConnections(p.Index)
 }
 
-// losePackets loses a share of all packets from callers.
+// losePackets drops a fraction of all packets from callers.
 func (inj *injector) losePackets(d draw) {
 	defer inj.faultLog.begin(inj.instanceNames()...)()
 	inj.SetPacketLoss(packetLossRate)
@@ -222,40 +231,44 @@
 	return list
 }
 
+// instanceStoreOutage makes the store unavailable to one instance.
 func (inj *injector) instanceStoreOutage(d draw) {
 	p := inj.processAt(d.process)
 	defer inj.faultLog.begin(p.Settings.Name)()
-	inj.logEvent("the store does not serve %s for %s, variant %d", p.Settings.Name, d.long, d.choice%len(outages))
+	inj.logEvent("store unavailable to %s for %s, kind of outage %d", p.Settings.Name, d.long, d.choice%len(outages))
 	p.StoreProxy.SetOutage(outages[d.choice%len(outages)])
 	time.Sleep(d.long)
 	p.StoreProxy.SetOutage(stand.OutageNone)
 }
 
+// stallStoreConnections makes the open connections of one instance to the store stall; new connections work.
 func (inj *injector) stallStoreConnections(d draw) {
 	p := inj.processAt(d.process)
 	defer inj.faultLog.begin(p.Settings.Name)()
-	inj.logEvent("connections of %s to the store go silent", p.Settings.Name)
+	inj.logEvent("connections of %s to the store stalled", p.Settings.Name)
 	p.StoreProxy.StallConnections()
 }
 
+// delayInstanceStore delays the store's responses to one instance.
 func (inj *injector) delayInstanceStore(d draw) {
 	p := inj.processAt(d.process)
 	defer inj.faultLog.begin(p.Settings.Name)()
-	inj.logEvent("the store is %s slow for %s", d.short, p.Settings.Name)
+	inj.logEvent("store responses delayed by %s for %s", d.short, p.Settings.Name)
 	p.StoreProxy.SetDelay(d.short)
 	time.Sleep(d.long)
 	p.StoreProxy.SetDelay(0)
 }
 
+// storeOutage makes the store unavailable to all.
 func (inj *injector) storeOutage(d draw) {
 	defer inj.faultLog.begin(storeComponent)()
-	inj.logEvent("the store is down for %s, variant %d", d.long, d.choice%len(outages))
+	inj.logEvent("store unavailable for %s, kind of outage %d", d.long, d.choice%len(outages))
 	inj.Store.SetOutage(outages[d.choice%len(outages)])
 	time.Sleep(d.long)
 	inj.Store.SetOutage(stand.OutageNone)
 }
 
-// expireEntries takes the store away until entries of upstreams that live have gone; they are back soon after it.
+// expireEntries lets the entries of running upstreams expire because of a store outage. After it, the upstreams register again one by one.
 func (inj *injector) expireEntries(d draw) {
 	end := inj.faultLog.begin(storeComponent)
 	inj.Store.SetOutage(outages[d.choice%len(outages)])
@@ -267,7 +280,7 @@
 			expired = append(expired, u)
 		}
 	}
-	inj.logEvent("%d entries lapse during an outage of %s", len(expired), d.long)
+	inj.logEvent("%d entries of upstreams expired during a store outage of %s", len(expired), d.long)
 	inj.Store.SetOutage(stand.OutageNone)
 	end()
 	for _, u := range expired {
@@ -277,7 +290,7 @@
 	}
 }
 
-// tryReserve marks an upstream that nothing was decided for yet; it reports false for others.
+// tryReserve reserves an upstream; it reports false if the upstream is reserved already.
 func (inj *injector) tryReserve(u *stand.Upstream) bool {
 	inj.mu.Lock()
 	defer inj.mu.Unlock()
@@ -288,14 +301,16 @@
 	return true
 }
 
+// delayStore delays the store's responses to all.
 func (inj *injector) delayStore(d draw) {
 	defer inj.faultLog.begin(storeComponent)()
-	inj.logEvent("the store is %s slow", d.short)
+	inj.logEvent("store responses delayed by %s", d.short)
 	inj.Store.SetDelay(d.short)
 	time.Sleep(d.long)
 	inj.Store.SetDelay(0)
 }
 
+// dropResponses makes the store execute writes but drop their responses, while an instance restarts.
 func (inj *injector) dropResponses(d draw) {
 	defer inj.faultLog.begin(storeComponent)()
 	inj.Store.DropResponses(1 + d.choice%3)
@@ -303,7 +318,7 @@
 	inj.Store.DropResponses(0)
 }
 
-// dropHistory lets the store keep changes to itself for a while and then forget them.
+// dropHistory makes the store withhold changes from watches and then discard its history, so that instances must list all objects again.
 func (inj *injector) dropHistory(d draw) {
 	defer inj.faultLog.begin(storeComponent)()
 	inj.Store.StallWatches(true)
@@ -312,43 +327,43 @@
 	inj.Store.StallWatches(false)
 }
 
-// recordDraining keeps when the store has acknowledged that an upstream leaves.
+// recordDraining records when the store acknowledged that an upstream drains or that its entry is removed.
 func (inj *injector) recordDraining(u *stand.Upstream) {
 	inj.run.mu.Lock()
 	defer inj.run.mu.Unlock()
 	inj.changes.drained[u.Name()] = time.Now()
 }
 
-// drain lets an upstream leave as planned, and another come.
+// drain replaces an upstream as planned: a new one starts, the old one drains and then shuts down.
 func (inj *injector) drain(d draw) {
 	u := inj.reserveUpstream(d.upstream)
 	if u == nil {
 		return
 	}
-	inj.logEvent("%s drains", u.Name())
+	inj.logEvent("upstream %s drains", u.Name())
 	inj.startUpstream(u.Service(), u.Domain(), netip.AddrPort{})
 	u.Drain()
 	inj.recordDraining(u)
 	time.Sleep(drainLimit + d.long/2)
 	defer inj.faultLog.begin(u.Name())()
-	inj.logEvent("%s leaves", u.Name())
+	inj.logEvent("upstream %s shuts down", u.Name())
 	u.Shutdown()
 }
 
-// drainAndKill lets upstreams leave while instances of their domain are killed.
+// drainAndKill drains an upstream while several instances are killed.
 func (inj *injector) drainAndKill(d draw) {
 	inj.wg.Go(func() { inj.drain(d) })
 	inj.killSeveral(d)
 }
 
-// crash ends an upstream without a word; it starts again under its name, or its entry lapses.
+// crash stops an upstream without draining. Either it restarts under its name, or its entry expires and a new upstream replaces it.
 func (inj *injector) crash(d draw) {
 	u := inj.reserveUpstream(d.upstream)
 	if u == nil {
 		return
 	}
 	end := inj.faultLog.begin(u.Name())
-	inj.logEvent("%s crashes; it starts again: %v", u.Name(), d.variant)
+	inj.logEvent("upstream %s crashed, restarts under its name: %v", u.Name(), d.variant)
 	u.Close()
 	if !d.variant {
 		time.Sleep(entryExpiry)
@@ -365,7 +380,7 @@
 	inj.release(u)
 }
 
-// replace ends an upstream, planned or not, and gives its address to one of the other service.
+// replace stops an upstream, after draining or by a crash, and then starts an upstream of the other service at its address.
 func (inj *injector) replace(d draw) {
 	u := inj.reserveUpstream(d.upstream)
 	if u == nil {
@@ -377,7 +392,7 @@
 		time.Sleep(drainLimit + d.short)
 	}
 	inj.faultLog.begin(u.Name())
-	inj.logEvent("%s ends, and its address goes to another service; planned: %v", u.Name(), d.variant)
+	inj.logEvent("upstream %s stopped, its address goes to another service; drained before: %v", u.Name(), d.variant)
 	u.Close()
 	if d.variant {
 		u.ExpireEntry()
@@ -396,6 +411,7 @@
 	}
 }
 
+// makeUnresponsive makes an upstream drop all packets and probes for a time.
 func (inj *injector) makeUnresponsive(d draw) {
 	u := inj.reserveUpstream(d.upstream)
 	if u == nil {
@@ -403,7 +419,7 @@
 	}
 	defer inj.release(u)
 	defer inj.faultLog.begin(u.Name())()
-	inj.logEvent("%s is silent for %s", u.Name(), d.long/2)
+	inj.logEvent("upstream %s unresponsive for %s", u.Name(), d.long/2)
 	if err := u.SetUnresponsive(true); err != nil {
 		inj.addViolation("%v", err)
 	}
@@ -413,6 +429,7 @@
 	}
 }
 
+// slowDown makes the requests of an upstream take longer for a time.
 func (inj *injector) slowDown(d draw) {
 	u := inj.reserveUpstream(d.upstream)
 	if u == nil {
@@ -425,6 +442,7 @@
 	u.SetSlowdown(1)
 }
 
+// scaleOut starts an additional upstream.
 func (inj *injector) scaleOut(d draw) {
 	service := "desk"
 	if d.variant {
@@ -433,7 +451,7 @@
 	inj.startUpstream(service, d.domain, netip.AddrPort{})
 }
 
-// changeRoutes adds a route and removes it some time later.
+// changeRoutes adds a route and removes it after its time bound has passed.
 func (inj *injector) changeRoutes(d draw) {
 	addr := inj.addRoute()
 	time.Sleep(applyLimit + d.long)
@@ -471,6 +489,7 @@
 	inj.changes.removed[address] = at
 }
 
+// changeManyRoutes adds routes in quick succession, each by a configuration of its own, and later removes them without pauses.
 func (inj *injector) changeManyRoutes(d draw) {
 	var added []netip.AddrPort
 	for range burstSize {
@@ -483,7 +502,7 @@
 	}
 }
 
-// evacuate takes a failure domain out and back, unless one is out.
+// evacuate takes a failure domain out of service and returns it, unless one is out already.
 func (inj *injector) evacuate(d draw) {
 	inj.run.mu.Lock()
 	for _, list := range inj.changes.evacuations {
@@ -496,7 +515,7 @@
 	out := &interval{start: time.Now()}
 	inj.changes.evacuations[d.domain] = append(inj.changes.evacuations[d.domain], out)
 	inj.run.mu.Unlock()
-	inj.logEvent("%s is taken out", d.domain)
+	inj.logEvent("failure domain %s taken out of service", d.domain)
 	time.Sleep(evacuationLimit + d.long/2)
 	inj.run.mu.Lock()
 	defer inj.run.mu.Unlock()
@@ -504,7 +523,7 @@
 	inj.Store.RestoreDomain(d.domain)
 }
 
-// corruptEntries puts entries into the registry that nobody understands.
+// corruptEntries adds entries of upstreams to the registry that can't be decoded, and removes them after a time.
 func (inj *injector) corruptEntries(d draw) {
 	inj.Store.CorruptUpstreams()
 	time.Sleep(d.long)
--- a/internal/proof/soak/script_test.go
+++ b/internal/proof/soak/injector_test.go
@@ -12,23 +12,24 @@
 	"hawthorncourse/platform/stand"
 )
 
-// injector is the series of faults of one seed. What happens, and when, follows from the seed alone; what it meets does not.
+// injector injects the series of faults of one seed. The kinds of faults, their parameters and the pauses between them follow from the seed
+// alone; the state of the processes that the faults affect does not.
 type injector struct {
 	*run
 	rng *rand.Rand
 	wg  sync.WaitGroup
-	// faultCount is how many faults began.
+	// faultCount is the number of faults started.
 	faultCount int
-	// processLocks keeps two faults from ending and starting the same process at once.
+	// processLocks prevents two faults from stopping and starting the same process concurrently.
 	processLocks map[*stage.Process]*sync.Mutex
 
 	mu sync.Mutex
 	// All below is guarded by mu.
-	// fated holds the upstreams that something was decided for already.
+	// reserved holds the upstreams that a fault already uses or has removed.
 	reserved map[*stand.Upstream]bool
-	// lastUpstream is the number of the last upstream.
+	// lastUpstream is the number of the upstream that was started last.
 	lastUpstream uint64
-	// version is that of the last configuration, and extra holds the routes that it has beside the first ones.
+	// version is that of the last configuration written; extraRoutes holds its routes beyond the initial ones, and routesMade counts all added so far.
 	version     uint64
 	extraRoutes []stand.Route
 	routesMade  int
@@ -45,22 +46,22 @@
 	return inj
 }
 
-// fault is one kind of trouble or planned work; it returns when it is over.
-type fault func(s *injector, d draw)
+// fault injects one kind of fault or planned change with the drawn parameters; it returns when the fault is over.
+type fault func(inj *injector, d draw)
 
-// draw is what the seed decides for one fault.
+// draw holds the random parameters of one fault; each kind of fault uses those that it needs.
 type draw struct {
-	// process, other and upstream are numbers to be taken modulo what there is.
+	// process, other and upstream select from the processes and upstreams at the time of the fault, modulo their number.
 	process, other, upstream int
 	domain                   string
 	// short is from 0.1 to 1 s, and long from 0.5 to 6 s.
 	short, long time.Duration
-	// variant decides between two variants, and many among more.
+	// variant selects one of two variants of a fault, and choice one of several, modulo their number.
 	variant bool
 	choice  int
 }
 
-// faults holds every kind, by name.
+// faults holds every kind of fault by name. The seed selects from the names in sorted order, so a changed name changes the faults of every seed.
 var faults = map[string]fault{
 	"kill":           (*injector).kill,
 	"kill some":      (*injector).killSeveral,
@@ -94,7 +95,7 @@
 	"drain and kill": (*injector).drainAndKill,
 }
 
-// injectFaults begins faults for a time and waits until all are over.
+// injectFaults starts faults, which may overlap, for the given time and waits until all are over.
 func (inj *injector) injectFaults(length time.Duration) {
 	names := slices.Sorted(maps.Keys(faults))
 	for end := time.Now().Add(length); time.Now().Before(end); {
@@ -102,16 +103,17 @@
 		pause := time.Duration(inj.rng.ExpFloat64() * float64(meanFaultInterval))
 		inj.faultCount++
 		inj.wg.Go(func() {
-			inj.logEvent("%s begins", name)
+			inj.logEvent("fault %s started", name)
 			faults[name](inj, d)
-			inj.logEvent("%s is over", name)
+			inj.logEvent("fault %s ended", name)
 		})
 		time.Sleep(min(pause, 4*meanFaultInterval))
 	}
 	inj.wg.Wait()
-	inj.logEvent("all faults are over")
+	inj.logEvent("all faults ended")
 }
 
+// nextDraw draws the parameters of the next fault; the order of the draws must stay, so that a seed keeps its faults.
 func (inj *injector) nextDraw() draw {
 	return draw{
 		process: inj.rng.IntN(1 << 20), other: inj.rng.IntN(1 << 20), upstream: inj.rng.IntN(1 << 20), domain: domains[inj.rng.IntN(len(domains))],
@@ -120,11 +122,12 @@
 	}
 }
 
+// processAt returns the process that a drawn number selects.
 func (inj *injector) processAt(n int) *stage.Process {
 	return inj.Processes[n%len(inj.Processes)]
 }
 
-// reserveUpstream returns an upstream that nothing was decided for yet, and marks it; nil if too few of its service would be left.
+// reserveUpstream reserves an upstream for one fault and returns it, or returns nil if too few unreserved ones of its service would remain.
 func (inj *injector) reserveUpstream(n int) *stand.Upstream {
 	const minRemaining = 2
 	inj.mu.Lock()
@@ -145,14 +148,14 @@
 	return u
 }
 
-// release lets others decide for the upstream again.
+// release makes the upstream available to other faults again.
 func (inj *injector) release(u *stand.Upstream) {
 	inj.mu.Lock()
 	defer inj.mu.Unlock()
 	delete(inj.reserved, u)
 }
 
-// nextUpstreamNumber returns one for a new upstream.
+// nextUpstreamNumber returns the number for a new upstream.
 func (inj *injector) nextUpstreamNumber() uint64 {
 	inj.mu.Lock()
 	defer inj.mu.Unlock()
@@ -160,23 +163,25 @@
 	return inj.lastUpstream
 }
 
-// startUpstream starts one more upstream; its address is its own if none is given.
+// startUpstream starts an additional upstream at the address, or at an unused one if the address is invalid.
 func (inj *injector) startUpstream(service, domain string, addr netip.AddrPort) {
 	if u, err := inj.AddUpstream(inj.nextUpstreamNumber(), service, domain, addr); err != nil {
-		inj.addViolation("upstream does not start: %v", err)
+		inj.addViolation("upstream failed to start: %v", err)
 	} else {
-		inj.logEvent("%s of %s starts at %s", u.Name(), service, u.Address())
+		inj.logEvent("upstream %s of service %s started at %s", u.Name(), service, u.Address())
 	}
 }
 
-// configure writes the next configuration; s.mu is held.
+// configure writes the next version of the configuration and returns the time at which the store had accepted it. The version numbers have gaps.
+// The caller holds inj.mu.
 func (inj *injector) configure() time.Time {
 	inj.version += 1 + uint64(inj.routesMade%3)
 	inj.Store.Configure(inj.version, append(slices.Clone(routes), inj.extraRoutes...)...)
 	return time.Now()
 }
 
-// deskAvailable reports whether flows to desk can be placed without doubt around the instant.
+// deskAvailable reports whether at least two upstreams of the service "desk" were available around the instant, so that an instance had no reason
+// to refuse a new flow for lack of one.
 func (inj *injector) deskAvailable(at time.Time) bool {
 	const before, after, minUpstreams = 6 * time.Second, time.Second, 2
 	n := 0
@@ -188,7 +193,7 @@
 	return n >= minUpstreams
 }
 
-// available reports whether an upstream was there, warm and in use between two instants.
+// available reports whether an upstream was running, warm, in service and free of faults between two instants.
 func (inj *injector) available(u *stand.Upstream, from, to time.Time) bool {
 	inj.run.mu.Lock()
 	defer inj.run.mu.Unlock()
--- a/internal/proof/soak/soak_test.go
+++ b/internal/proof/soak/soak_test.go
@@ -1,4 +1,5 @@
-// Package soak runs relay instances as processes under random series of faults from outside, and checks what callers and upstreams see.
+// Package soak runs relay instances as separate processes while it injects random faults from outside: killed and paused processes, network
+// partitions, store outages, crashed upstreams, changed routes. It checks the users' guarantees by what callers and upstreams observe.
 package soak
 
 import (
@@ -22,30 +23,35 @@
 var (
 	firstSeed = flag.Uint64("soak.seed", 1, "first seed")
 	seedCount = flag.Int("soak.seeds", 2, "number of seeds")
-	length    = flag.Duration("soak.length", 10*time.Second, "time in which faults begin")
-	instances = flag.Int("soak.instances", 6, "instances at the start")
-	keepLogs  = flag.String("soak.keep", "", "folder for the logs of runs that fail")
+	length    = flag.Duration("soak.length", 10*time.Second, "period in which faults are started")
+	instances = flag.Int("soak.instances", 6, "number of relay instances")
+	keepLogs  = flag.String("soak.keep", "", "directory for the instance logs of failed runs")
 
 	binary  string
 	subnets atomic.Int32
 )
 
-// The bounds of the users' pages.
+// The bounds of the users' specification, and the tolerances of the checks.
 const (
+	// stabilityWindow is how long an instance and the store must have been free of faults before the bounds apply.
 	stabilityWindow = 4 * time.Second
+	// drainLimit, applyLimit and evacuationLimit are how long an upstream that drains, a changed route and a failure domain that is out of
+	// service may still be treated as before; stopLimit is how long a graceful stop may take.
 	drainLimit      = 3 * time.Second
 	applyLimit      = 3 * time.Second
 	evacuationLimit = 5 * time.Second
 	stopLimit       = 6 * time.Second
-	// rollbackSlack is how long an instance may still act on the version before, and slowedSlack if it stood still.
+	// rollbackSlack is how long an instance may still act on the previous version of the configuration after a newer one, and
+	// disturbedRollbackSlack if a fault affected it in between, such as a pause of its process.
 	rollbackSlack          = 250 * time.Millisecond
 	disturbedRollbackSlack = 8 * rollbackSlack
-	// recoveryTime is when everything works again after the last fault.
+	// recoveryTime is the time after the last fault within which every request must be served again.
 	recoveryTime = 12 * time.Second
-	// coldFlowLimit is how many flows a cold upstream bears in a second: none by itself, and a slack of five.
+	// coldFlowLimit is the number of new flows per second that a cold upstream accepts: it warms up at a rate of zero with a slack of five.
 	coldFlowLimit = 5
+	// coldStartTime is how long an upstream is cold after its start.
 	coldStartTime = 2 * time.Second
-	// memoryLimitKB is what a process may hold, in KB.
+	// memoryLimitKB is the limit on the peak resident memory of a process.
 	memoryLimitKB = 64 << 10
 )
 
@@ -54,11 +60,11 @@
 	requestTime    = 20 * time.Millisecond
 	thinkTime      = 30 * time.Millisecond
 	concurrency    = 6
-	// steadyTime is how long the load is watched after recovery.
+	// steadyTime is how long requests are counted after recovery.
 	steadyTime = 3 * time.Second
-	// meanFaultInterval is the mean time between two faults.
+	// meanFaultInterval is the mean time between the starts of two faults.
 	meanFaultInterval = 500 * time.Millisecond
-	// firstSubnet is the second byte of the first stage's loopback addresses; other tests use lower ones.
+	// firstSubnet is the lowest second byte of the loopback addresses that environments of this package use; other tests use lower values.
 	firstSubnet = 130
 )
 
@@ -73,7 +79,7 @@
 		{Name: "photo", Address: photoAddress, Service: "claims"},
 	}
 	domains = []string{"east", "west", "north"}
-	// services are those of the first upstreams.
+	// services lists the service of each initial upstream.
 	services = []string{"desk", "desk", "desk", "desk", "desk", "desk", "desk", "desk", "desk", "claims", "claims", "claims"}
 )
 
@@ -91,7 +97,9 @@
 	os.Exit(code)
 }
 
-// TestSoak runs random series of faults, one for each seed.
+// TestSoak injects one random series of faults per seed. It guards against failures that only appear when faults overlap: requests that run
+// twice or reach another service, flows that are reset while their upstream is up, missed time bounds, configurations that roll back,
+// and instances that don't recover or whose memory grows.
 func TestSoak(t *testing.T) {
 	for n := range *seedCount {
 		seed := *firstSeed + uint64(n)
@@ -102,13 +110,13 @@
 	}
 }
 
-// TestRegressionSeeds runs seeds that once failed, each for as long as it took.
+// TestRegressionSeeds replays seeds that exposed a fault, each for as long as the fault took to appear.
 func TestRegressionSeeds(t *testing.T) {
 	cases := map[string]struct {
 		seed   uint64
 		length time.Duration
 	}{
-		// All connections of an instance to the store went silent, and each of its next reads took another of them.
+		// All pooled connections of an instance to the store stalled, and each of its following reads picked another stalled one.
 		"silent connections": {seed: 11, length: 20 * time.Second},
 	}
 	for name, tc := range cases {
@@ -119,7 +127,7 @@
 	}
 }
 
-// run is one soak.
+// run is one soak: an environment, its load, and what is recorded for the checks.
 type run struct {
 	*stage.Environment
 	t        *testing.T
@@ -133,12 +141,12 @@
 	// All below is guarded by mu.
 	events     []string
 	violations []string
-	// changes are what operators and upstreams had acknowledged, for the checks.
+	// changes holds when the store acknowledged the changes of operators and upstreams.
 	changes changeTimes
 	probes  []probe
 }
 
-// soak plays one seed and checks it.
+// soak injects the faults of one seed and checks the outcome.
 func soak(t *testing.T, seed uint64, length time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -155,7 +163,7 @@
 		t.Fatal(err)
 	}
 	defer r.Close()
-	// The first upstreams start before the traffic and are warm then.
+	// The initial upstreams must be warm before the load starts.
 	time.Sleep(coldStartTime)
 	r.load = crowd.Start(ctx, crowd.Config{
 		Callers: r.Callers, Concurrency: concurrency, Deadline: requestTimeout, ThinkTime: thinkTime, OnReset: r.checkReset,
@@ -177,31 +185,31 @@
 	r.report(seed)
 }
 
-// timestamp returns an instant as the notes show it.
+// timestamp formats an instant as seconds since the start of the run.
 func (r *run) timestamp(at time.Time) string {
 	return fmt.Sprintf("%.3f", at.Sub(r.started).Seconds())
 }
 
-// logEvent keeps what was done, for the report.
+// logEvent records an event with its time for the report of a failed run.
 func (r *run) logEvent(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events = append(r.events, r.timestamp(time.Now())+" "+fmt.Sprintf(format, args...))
 }
 
-// addViolation keeps a broken promise.
+// addViolation records a violated guarantee, which fails the test when the run is reported.
 func (r *run) addViolation(format string, args ...any) {
-	r.logEvent("BROKEN: "+format, args...)
+	r.logEvent("VIOLATION: "+format, args...)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// report fails the test with everything that is needed to trace what happened.
+// report fails the test if there are violations, and then prints all events and writes the logs of the instances to the directory of -soak.keep.
 func (r *run) report(seed uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.t.Logf("seed %d: %d faults, %d probes", seed, r.injector.faultCount, len(r.probes))
+	r.t.Logf("seed %d: %d faults injected, %d route probes", seed, r.injector.faultCount, len(r.probes))
 	if len(r.violations) == 0 && !r.t.Failed() {
 		return
 	}
--- a/internal/proof/whole/document_test.go
+++ b/internal/proof/whole/document_test.go
@@ -23,22 +23,23 @@
 	"hawthorncourse/platform/stand"
 )
 
-// TestDomainOut proves that a domain that is taken out gets no packets, and that the others go on.
+// TestDomainOut guards against packets to a failure domain that operators have taken out of service, and against effects on other domains. It
+// takes a domain out and returns it under load, in one case while the domain is partitioned from the platform.
 func TestDomainOut(t *testing.T) {
 	cases := map[string]struct {
 		setup  fleet.Setup
 		domain model.DomainID
 	}{
-		"jambes of the Régie":  {setup: fleet.Regie(), domain: "jambes"},
-		"gakenke of Ikirere":   {setup: fleet.Ikirere(), domain: "gakenke"},
-		"musanze with cut off": {setup: fleet.Ikirere(), domain: "musanze"},
+		"jambes of the Régie":    {setup: fleet.Regie(), domain: "jambes"},
+		"gakenke of Ikirere":     {setup: fleet.Ikirere(), domain: "gakenke"},
+		"musanze with partition": {setup: fleet.Ikirere(), domain: "musanze"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newSystem(t, withDuplicates(tc.setup))
 			s.startLoad()
-			if strings.Contains(name, "cut off") {
+			if strings.Contains(name, "partition") {
 				s.net.partition(tc.domain, "platform")
 			}
 			s.setDomainOut(tc.domain, true)
@@ -56,17 +57,17 @@
 	}
 }
 
-// checkNoPackets checks that no upstream of the domain got a packet after the deadline.
+// checkNoPackets checks that no upstream of the failure domain received a packet after the deadline.
 func (s *system) checkNoPackets(domain model.DomainID, deadline time.Time) {
 	s.t.Helper()
 	for name, st := range s.stats() {
 		if s.UpstreamDomains()[name] == domain && st.LastPacket.After(deadline) {
-			s.t.Errorf("%s got a packet %s after its domain had to be silent", name, st.LastPacket.Sub(deadline))
+			s.t.Errorf("upstream %s received a packet %s after the deadline for its failure domain", name, st.LastPacket.Sub(deadline))
 		}
 	}
 }
 
-// checkServing checks that upstreams of the domain work again.
+// checkServing checks that an upstream of the failure domain has received work since the instant.
 func (s *system) checkServing(domain model.DomainID, since time.Time) {
 	s.t.Helper()
 	for name, st := range s.stats() {
@@ -74,14 +75,15 @@
 			return
 		}
 	}
-	s.t.Errorf("no upstream of %s got work after it came back", domain)
+	s.t.Errorf("no upstream of failure domain %s received work after its return", domain)
 }
 
-// TestDocumentInForce proves that accepted documents are in force everywhere soon, and that none reverts.
+// TestDocumentInForce guards against accepted documents that reach some instance late, and against instances that revert to an older version. It
+// changes the document repeatedly: without faults, with a domain partitioned from the platform, and after an instance was replaced.
 func TestDocumentInForce(t *testing.T) {
 	cases := map[string]func(*system){
-		"all is well": func(*system) {},
-		"a domain is cut from the platform": func(s *system) {
+		"no fault": func(*system) {},
+		"a domain is partitioned from the platform": func(s *system) {
 			s.net.partition("gembloux", "platform")
 		},
 		"an instance is killed and another joins": func(s *system) {
@@ -100,14 +102,14 @@
 			for n := range 6 {
 				start := time.Now()
 				s.awaitVersion(s.setLeaving("ruche-service-1", n%2 == 0), shortLimit)
-				t.Logf("in force everywhere after %s", time.Since(start))
+				t.Logf("in force at every instance after %s", time.Since(start))
 			}
 			stop()
 		})
 	}
 }
 
-// watchVersions checks until it is stopped that no instance is ever seen at a lower version.
+// watchVersions polls all instances until stop is called, and checks that no instance reports a lower version than before.
 func (s *system) watchVersions() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -117,7 +119,7 @@
 			for ctx.Err() == nil {
 				w, err := in.Status(ctx)
 				if err == nil && w.Document < highest {
-					s.t.Errorf("instance %s fell from version %d to %d", in.ID, highest, w.Document)
+					s.t.Errorf("instance %s reverted from version %d to %d", in.ID, highest, w.Document)
 				}
 				if err == nil {
 					highest = w.Document
@@ -132,21 +134,23 @@
 	}
 }
 
-// checkOneChange checks that exactly one change was made: versions count all changes of the store, so the document itself tells.
+// checkOneChange checks that exactly one change was made since base. Versions count all changes of the store, so only the list of earlier
+// operations in the document shows it.
 func checkOneChange(is *is.I, base, after change.StoredDocument) {
 	is.Helper()
 	is.True(after.Version > base.Version)
 	is.Equal(after.Document.Earlier[0], base.Document.Operation)
 }
 
-// TestOperators proves what two operators and a lossy platform may do to a change.
+// TestOperators guards against lost, repeated or mixed-up changes of the document: when two operators submit concurrently, when the response to
+// a submission is lost, when the stored object is unreadable, and when the platform is unavailable.
 func TestOperators(t *testing.T) {
 	s := newSystem(t, fleet.Regie())
 	client := object.NewClient(s.Platform(), netip.Addr{})
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 
-	t.Run("two race and one wins", func(t *testing.T) {
+	t.Run("one of two concurrent changes wins", func(t *testing.T) {
 		is := is.New(t)
 		base, err := change.Read(ctx, client)
 		is.NoErr(err)
@@ -174,7 +178,7 @@
 		checkOneChange(is, base, after)
 	})
 
-	t.Run("a lost answer is settled", func(t *testing.T) {
+	t.Run("a lost response is resolved", func(t *testing.T) {
 		is := is.New(t)
 		base, err := change.Read(ctx, client)
 		is.NoErr(err)
@@ -187,7 +191,7 @@
 		s.awaitVersion(v, shortLimit)
 	})
 
-	t.Run("an object that is no document changes nothing and is replaced", func(t *testing.T) {
+	t.Run("an unreadable document changes nothing and is replaced", func(t *testing.T) {
 		is := is.New(t)
 		good, err := change.Read(ctx, client)
 		is.NoErr(err)
@@ -204,7 +208,7 @@
 		s.awaitVersion(v, shortLimit)
 	})
 
-	t.Run("an outage of a minute's start is waited for", func(t *testing.T) {
+	t.Run("a change waits for the end of an outage", func(t *testing.T) {
 		is := is.New(t)
 		s.Store.SetOutage(stand.OutageUnavailable)
 		time.AfterFunc(3*time.Second, func() { s.Store.SetOutage(stand.OutageNone) })
@@ -217,7 +221,8 @@
 	})
 }
 
-// TestDomainService measures service while a domain leaves and returns, for both set-ups.
+// TestDomainService guards against lost bookings while a failure domain is taken out of service and returns, for both setups. It also
+// logs how many bookings were served.
 func TestDomainService(t *testing.T) {
 	cases := map[string]fleet.Setup{"Régie": fleet.Regie(), "Ikirere": fleet.Ikirere()}
 	for name, setup := range cases {
@@ -242,7 +247,9 @@
 	}
 }
 
-// TestDomainOutDuringPartition measures a domain that is out while its instances hear nobody who knows, and proves that it ends with the cut.
+// TestDomainOutDuringPartition guards against a failure domain that keeps receiving packets although it is out of service. Its own instances can't
+// learn of the change while the domain is partitioned from all others and from the platform, so they may go on during the partition (logged),
+// but must stop soon after it heals.
 func TestDomainOutDuringPartition(t *testing.T) {
 	t.Parallel()
 	const domain = "jambes"
@@ -259,7 +266,7 @@
 			receiving++
 		}
 	}
-	t.Logf("%d upstreams behind the cut still get packets from instances behind it", receiving)
+	t.Logf("%d upstreams in the partitioned domain still receive packets from its instances", receiving)
 	s.net.heal()
 	healed := time.Now()
 	time.Sleep(2 * shortLimit)
@@ -267,7 +274,8 @@
 	s.checkInvariants()
 }
 
-// TestBlockwiseTransfer proves that the blocks of a photograph reach one upstream, also while an instance stops.
+// TestBlockwiseTransfer guards against blockwise transfers that are split between upstreams. It sends the blocks of a photograph, of which all
+// must reach the same upstream, while an instance stops and the fabric duplicates packets.
 func TestBlockwiseTransfer(t *testing.T) {
 	t.Parallel()
 	const blocks = 40
--- a/internal/proof/whole/fault_test.go
+++ b/internal/proof/whole/fault_test.go
@@ -11,7 +11,8 @@
 	"hawthorncourse/platform/stand"
 )
 
-// TestFault proves that what must always hold does so under each fault, alone and with another.
+// TestFault guards against violations of the invariants under a single fault or two that overlap: killed, paused and joining instances, cold
+// restarts of upstreams, false load reports, network faults and platform outages. Bookings must succeed again after each.
 func TestFault(t *testing.T) {
 	cases := map[string]func(*system){
 		"instance killed": func(s *system) {
@@ -26,7 +27,7 @@
 			}
 			time.Sleep(8 * time.Second)
 		},
-		"instance paused past its bindings and woken": func(s *system) {
+		"instance paused past its bindings and resumed": func(s *system) {
 			in := s.Instances[4]
 			in.Pause()
 			time.Sleep(10 * time.Second)
@@ -60,26 +61,26 @@
 			s.Node("ruche-service-4").SetShedding(false)
 			time.Sleep(2 * time.Second)
 		},
-		"load reports lie": func(s *system) {
+		"load reports are false": func(s *system) {
 			s.Node("ruche-service-1").OverrideHealth(&upnode.HealthReport{State: "warm", Connections: 0})
 			s.Node("ruche-service-5").OverrideHealth(&upnode.HealthReport{State: "warm", Connections: 1 << 20})
 			s.restart("ruche-service-1", 2*time.Second)
 			time.Sleep(8 * time.Second)
 		},
-		"datagrams lost, doubled, late and crossed": func(s *system) {
+		"datagrams lost, duplicated, delayed and reordered": func(s *system) {
 			s.net.setDatagramFaults(datagramFaults{dropRate: 0.02, delayRate: 0.2, maxDelay: 300 * time.Millisecond})
 			time.Sleep(10 * time.Second)
 			s.net.setDatagramFaults(datagramFaults{})
 			time.Sleep(2 * time.Second)
 		},
-		"domains cut from each other": func(s *system) {
+		"domains partitioned from each other": func(s *system) {
 			s.net.partition("jambes", "namur-ville")
 			s.net.partition("jambes", "gembloux")
 			time.Sleep(10 * time.Second)
 			s.net.heal()
 			time.Sleep(8 * time.Second)
 		},
-		"domain cut from everything while an upstream restarts": func(s *system) {
+		"domain partitioned from everything while an upstream restarts": func(s *system) {
 			s.net.partition("jambes", "namur-ville")
 			s.net.partition("jambes", "gembloux")
 			s.net.partition("jambes", "platform")
@@ -116,7 +117,7 @@
 			healed := time.Now()
 			time.Sleep(4 * time.Second)
 			if out := s.load.Bookings(healed); out[caller.OutcomeDone] == 0 {
-				t.Errorf("no booking was done after the fault: %v", out)
+				t.Errorf("no booking succeeded after the fault: %v", out)
 			}
 			s.checkInvariants()
 		})
--- a/internal/proof/whole/faultnet_test.go
+++ b/internal/proof/whole/faultnet_test.go
@@ -15,32 +15,37 @@
 )
 
 const (
+	// proxyPort, proxyGroup and proxyHostBase give the n-th proxy the address 127.x.proxyGroup.(proxyHostBase+n):proxyPort, where x is the
+	// second byte of the fleet's own addresses.
 	proxyPort     = 7500
 	proxyGroup    = 60
 	proxyHostBase = 15
 	maxDatagram   = 64 << 10
 )
 
-// datagramFaults is what happens to datagrams.
+// datagramFaults holds the probabilities that a datagram is dropped, duplicated or delayed, from 0 to 1.
 type datagramFaults struct {
 	dropRate, duplicateRate, delayRate float64
-	// maxDelay is how long a delayed datagram takes at most.
+	// maxDelay is the upper bound of a delayed datagram's delay, which is drawn uniformly.
 	maxDelay time.Duration
 }
 
-// faultNetwork stands between the parts of a fleet: it cuts links, and drops, delays, reorders and doubles datagrams.
+// faultNetwork is a set of fault proxies on the links of a fleet. It blocks links between failure domains, and drops, delays, reorders and
+// duplicates datagrams.
 type faultNetwork struct {
 	t       *testing.T
 	closers []func()
 
 	mu sync.Mutex
-	// all below is guarded by mu.
+	// All below is guarded by mu.
 	rng        *rand.Rand
 	proxyCount int
-	names      map[netip.Addr]string
-	domains    map[string]string
-	blocked    map[[2]string]bool
-	faults     datagramFaults
+	// names holds the instance at each address, and domains the failure domain of each instance and upstream.
+	names   map[netip.Addr]string
+	domains map[string]string
+	// blocked holds the blocked directions between failure domains, as pairs of sender and receiver.
+	blocked map[[2]string]bool
+	faults  datagramFaults
 }
 
 func newFaultNetwork(t *testing.T) *faultNetwork {
@@ -53,7 +58,7 @@
 	}
 }
 
-// register learns which instance has which address, and where upstreams are.
+// register records the addresses and failure domains of the fleet's instances and the failure domains of its upstreams.
 func (n *faultNetwork) register(f *fleet.Fleet) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -72,12 +77,12 @@
 	}
 }
 
-// partition severs both directions between two domains; "platform" counts as one.
+// partition blocks both directions between two failure domains; "platform" names the platform's store.
 func (n *faultNetwork) partition(a, b model.DomainID) {
 	n.setBlocked(a, b, true)
 }
 
-// heal ends every cut.
+// heal ends all partitions.
 func (n *faultNetwork) heal() {
 	n.mu.Lock()
 	pairs := make([][2]string, 0, len(n.blocked))
@@ -115,13 +120,14 @@
 	return 0
 }
 
+// instanceAt returns the name of the instance at the address, or the empty string if there is none.
 func (n *faultNetwork) instanceAt(addr netip.Addr) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.names[addr.Unmap()]
 }
 
-// drawDelays returns the delays after which a datagram arrives: none for a lost one, two for a doubled one.
+// drawDelays draws the delay of each copy of a datagram: none if it is lost, two if it is duplicated.
 func (n *faultNetwork) drawDelays() []time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -141,7 +147,7 @@
 	return delays
 }
 
-// wire implements fleet.Wiring.
+// wire implements fleet.Wiring: it starts a proxy in front of the target and returns the proxy's address.
 func (n *faultNetwork) wire(role fleet.Role, server string, target netip.AddrPort) (netip.AddrPort, error) {
 	n.mu.Lock()
 	n.proxyCount++
@@ -177,7 +183,7 @@
 	return nil
 }
 
-// udpProxy passes datagrams to one owner, and its answers back the way they came.
+// udpProxy forwards datagrams to one server, and with replies also the server's datagrams back to the clients.
 type udpProxy struct {
 	net         *faultNetwork
 	conn        *net.UDPConn
@@ -206,7 +212,7 @@
 	}
 }
 
-// serverConn returns the socket that speaks to the owner for one source.
+// serverConn returns the socket that forwards the datagrams of one client to the server; it opens one for a new client.
 func (p *udpProxy) serverConn(client netip.AddrPort, clientName string) (*net.UDPConn, error) {
 	if out := p.serverConns[client]; out != nil {
 		return out, nil
@@ -225,6 +231,7 @@
 	return out, nil
 }
 
+// forwardReplies forwards the server's datagrams to one client until the socket is closed.
 func (p *udpProxy) forwardReplies(out *net.UDPConn, client netip.AddrPort, clientName string) {
 	buf := make([]byte, maxDatagram)
 	for {
@@ -239,7 +246,7 @@
 	}
 }
 
-// deliver sends a datagram according to its fate.
+// deliver sends a datagram as often and as late as the datagram faults require. Copies with different delays can arrive out of order.
 func (n *faultNetwork) deliver(raw []byte, send func([]byte)) {
 	for _, delay := range n.drawDelays() {
 		if delay == 0 {
--- a/internal/proof/whole/flow_test.go
+++ b/internal/proof/whole/flow_test.go
@@ -17,14 +17,15 @@
 	opaqueService  = "stock-feed"
 )
 
-// opaqueSetup returns a set-up with one service of opaque datagrams.
+// opaqueSetup returns a setup with one service of opaque datagrams, whose flows carry no binding.
 func opaqueSetup() fleet.Setup {
 	setup := fleet.Ikirere()
 	setup.Services = []fleet.Service{{ID: opaqueService, Kind: "datagram", Upstreams: 14, Slots: 3, Connections: 2000}}
 	return setup
 }
 
-// TestOpaqueFlow proves that flows without a binding stay on their upstream through planned changes, and measures a kill.
+// TestOpaqueFlow guards against flows of opaque datagrams that move to another upstream during planned changes. Such flows carry no binding, so
+// the instances must agree on their assignments. If an instance is killed, moved flows are logged but allowed.
 func TestOpaqueFlow(t *testing.T) {
 	cases := map[string]struct {
 		planned bool
@@ -62,7 +63,7 @@
 	}
 }
 
-// startFlows sets callers with opaque flows to work.
+// startFlows starts callers with one opaque flow each; stop ends them, after which the reports are complete.
 func (s *system) startFlows() (reports *[]caller.FlowReport, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var mu sync.Mutex
@@ -86,6 +87,8 @@
 	}
 }
 
+// checkFlows checks that every flow still receives replies, and only its own, that none moved during a planned change, and that upstreams
+// received no packets of other services and no more flows in cold start than allowed.
 func (s *system) checkFlows(reports []caller.FlowReport, planned bool) {
 	s.t.Helper()
 	sent, answered, moved := 0, 0, 0
@@ -95,22 +98,22 @@
 			moved++
 		}
 		if silence := time.Since(r.LastReply); silence > shortLimit {
-			s.t.Errorf("a flow has had no answer for %s", silence)
+			s.t.Errorf("a flow has received no reply for %s", silence)
 		}
 		if r.Misdelivered > 0 {
-			s.t.Errorf("a flow got %d answers of others", r.Misdelivered)
+			s.t.Errorf("a flow received %d replies that belong to other flows", r.Misdelivered)
 		}
 	}
-	s.t.Logf("%d flows, %d of %d datagrams answered, %d flows moved", len(reports), answered, sent, moved)
+	s.t.Logf("%d flows, replies to %d of %d datagrams, %d flows moved to another upstream", len(reports), answered, sent, moved)
 	if planned && moved > 0 {
-		s.t.Errorf("%d flows moved", moved)
+		s.t.Errorf("%d flows moved to another upstream during a planned change", moved)
 	}
 	for name, st := range s.stats() {
 		if st.Misrouted != 0 {
-			s.t.Errorf("%s got %d packets of another service", name, st.Misrouted)
+			s.t.Errorf("upstream %s received %d packets of another service", name, st.Misrouted)
 		}
 		if st.MaxColdOpened > coldConnections {
-			s.t.Errorf("%s had %d flows opened in cold start", name, st.MaxColdOpened)
+			s.t.Errorf("upstream %s had %d flows opened during its cold start", name, st.MaxColdOpened)
 		}
 	}
 }
--- a/internal/proof/whole/harness_test.go
+++ b/internal/proof/whole/harness_test.go
@@ -1,4 +1,5 @@
-// Package whole proves the system by entry processes that run as programs, with faults between them.
+// Package whole tests the system end to end: entry instances run as separate processes, with fault proxies on the links between them, the
+// upstreams and the platform. The upstreams, the callers, the fabric and the platform's store are fakes.
 package whole
 
 import (
@@ -19,7 +20,7 @@
 const (
 	seed         = 1
 	startTimeout = 30 * time.Second
-	// shortLimit is what "within seconds" and "a few seconds" mean.
+	// shortLimit is the bound for what the users want "within seconds" or within "a few seconds".
 	shortLimit = 5 * time.Second
 )
 
@@ -38,7 +39,7 @@
 	os.Exit(code)
 }
 
-// system is a running fleet with its load and the faults between its parts.
+// system is a running fleet with its load and the fault proxies on its links.
 type system struct {
 	*fleet.Fleet
 	t    *testing.T
@@ -46,7 +47,7 @@
 	load *drive.Load
 }
 
-// newSystem starts a fleet that is warm, with faults to bring about, until the test ends.
+// newSystem starts a fleet behind fault proxies and waits until its upstreams are warm; it stops the fleet when the test ends.
 func newSystem(t *testing.T, setup fleet.Setup) *system {
 	t.Helper()
 	dir := t.TempDir()
@@ -70,6 +71,7 @@
 	return s
 }
 
+// printLogs writes the logs of all instances to the test's log.
 func printLogs(t *testing.T, f *fleet.Fleet, dir string) {
 	for _, in := range f.Instances {
 		log, _ := os.ReadFile(filepath.Join(dir, string(in.ID)+".log"))
@@ -77,6 +79,7 @@
 	}
 }
 
+// awaitVersion waits until the document is in force at every instance and fails the test after the limit.
 func (s *system) awaitVersion(v model.Version, limit time.Duration) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
@@ -86,7 +89,7 @@
 	}
 }
 
-// awaitWarm waits until the units are usable; what is usable before the first answers is the cold allowance.
+// awaitWarm waits until all upstreams are warm. Before the first responses of health checks, only their cold-start capacity is usable.
 func (s *system) awaitWarm(setup fleet.Setup) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
@@ -100,7 +103,7 @@
 	}
 }
 
-// edit changes the document and returns when the change is accepted.
+// edit changes the document and returns the new version once the platform has accepted it.
 func (s *system) edit(edit func(change.StoredDocument) ([]byte, error)) model.Version {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
@@ -112,26 +115,26 @@
 	return v
 }
 
-// setLeaving changes whether the upstream is leaving.
+// setLeaving sets whether the document marks the upstream as leaving.
 func (s *system) setLeaving(id string, leaving bool) model.Version {
 	return s.edit(func(d change.StoredDocument) ([]byte, error) {
 		return change.SetUpstreamLeaving(d, model.UpstreamID(id), leaving, "")
 	})
 }
 
-// setDomainOut changes whether the failure domain is taken out.
+// setDomainOut sets whether the document takes the failure domain out of service.
 func (s *system) setDomainOut(id model.DomainID, out bool) {
 	s.edit(func(d change.StoredDocument) ([]byte, error) { return change.SetDomainOut(d, id, out, "") })
 }
 
-// restart makes the upstream silent for a while and starts it cold.
+// restart kills the upstream and starts it cold after the downtime.
 func (s *system) restart(name string, downtime time.Duration) {
 	s.Node(name).Kill()
 	time.Sleep(downtime)
 	s.Node(name).Restart()
 }
 
-// stats returns what every upstream has seen, by name.
+// stats returns what every upstream has recorded, by upstream name.
 func (s *system) stats() map[string]upnode.Stats {
 	out := map[string]upnode.Stats{}
 	for _, n := range s.Nodes {
--- a/internal/proof/whole/promises_test.go
+++ b/internal/proof/whole/invariants_test.go
@@ -10,13 +10,14 @@
 )
 
 const (
+	// coldSlots and coldConnections are the limits of an upstream during its cold start: concurrent requests, and streams or flows opened.
 	coldSlots       = 1
 	coldConnections = 50
-	// lateResponseTime lets late answers come before journals are read.
+	// lateResponseTime is the wait for late responses before the upstreams' records are read.
 	lateResponseTime = 1500 * time.Millisecond
 )
 
-// startLoad sets callers to work and waits until every stream is open.
+// startLoad starts callers and waits until all their streams are open.
 func (s *system) startLoad() {
 	s.t.Helper()
 	l, err := drive.Start(drive.Config{
@@ -40,7 +41,8 @@
 	}
 }
 
-// checkInvariants checks, against the upstreams' own journals, what must hold under every fault.
+// checkInvariants stops the load and compares the callers' results with the upstreams' records: at most one execution of each booking, no
+// traffic to another service, true responses, and cold-start limits. These hold under every fault.
 func (s *system) checkInvariants() {
 	s.t.Helper()
 	s.load.Stop()
@@ -49,7 +51,7 @@
 	for _, b := range s.load.Verify(drive.Limits{ColdSlots: coldSlots, ColdConnections: coldConnections}) {
 		s.t.Error(b)
 	}
-	s.t.Logf("bookings %v, reads %v, refused or lost %v", s.load.Bookings(time.Time{}), s.load.Reads(), s.load.Refused())
+	s.t.Logf("bookings by outcome %v, reads by outcome %v, refused or lost %v", s.load.Bookings(time.Time{}), s.load.Reads(), s.load.Refused())
 }
 
 // logCounters logs the sum of the counters of all instances.
@@ -69,15 +71,15 @@
 	s.t.Logf("counters %v", sums)
 }
 
-// checkNoBookingLost checks that since then no booking was left without a certain answer.
+// checkNoBookingLost checks that since the instant every booking got a definite result, and at least one succeeded.
 func (s *system) checkNoBookingLost(since time.Time) {
 	s.t.Helper()
 	out := s.load.Bookings(since)
 	if n := out[caller.OutcomeUnknown] + out[caller.OutcomeTimeout]; n != 0 {
-		s.t.Errorf("%d bookings were cut: %v", n, out)
+		s.t.Errorf("%d bookings without a definite result: %v", n, out)
 	}
 	if out[caller.OutcomeDone] == 0 {
-		s.t.Errorf("no booking was done: %v", out)
+		s.t.Errorf("no booking succeeded: %v", out)
 	}
 }
 
@@ -87,12 +89,12 @@
 	s.checkNoStreamBrokenOutside("")
 }
 
-// checkNoStreamBrokenOutside checks that only streams of the domain broke.
+// checkNoStreamBrokenOutside checks that only streams whose first upstream is in the failure domain broke.
 func (s *system) checkNoStreamBrokenOutside(domain model.DomainID) {
 	s.t.Helper()
 	for _, r := range s.load.Broken() {
 		if s.UpstreamDomains()[r.First] != domain {
-			s.t.Errorf("stream at %s broke: %+v", r.First, r.StreamReport)
+			s.t.Errorf("stream of upstream %s broke: %+v", r.First, r.StreamReport)
 		}
 	}
 }
--- a/internal/proof/whole/planned_test.go
+++ b/internal/proof/whole/planned_test.go
@@ -12,7 +12,8 @@
 	"hawthorncourse/platform/stand"
 )
 
-// TestPlannedChange proves that no planned change breaks a stream or cuts a request.
+// TestPlannedChange guards against planned changes that break a stream or leave a request without a definite result: draining upstreams, stopping
+// and joining instances, and key rotation. It makes each change under load while the fabric duplicates packets.
 func TestPlannedChange(t *testing.T) {
 	cases := map[string]func(*system){
 		"nothing": func(*system) {
@@ -23,7 +24,7 @@
 			s.awaitVersion(s.setLeaving(id, true), shortLimit)
 			s.checkNoNewWork(id)
 		},
-		"upstream drains by its own word": func(s *system) {
+		"upstream announces draining": func(s *system) {
 			const id = "ruche-service-6"
 			s.Node(id).SetDraining(true)
 			s.checkNoNewWork(id)
@@ -34,7 +35,7 @@
 			select {
 			case <-in.Exited():
 			case <-time.After(startTimeout):
-				s.t.Error("instance did not end")
+				s.t.Error("instance did not exit")
 			}
 			time.Sleep(4 * time.Second)
 		},
@@ -71,23 +72,23 @@
 	}
 }
 
-// checkNoNewWork checks that a leaving upstream gets no new work after a few seconds from now.
+// checkNoNewWork checks that a leaving upstream receives no new work later than a few seconds from now.
 func (s *system) checkNoNewWork(id string) {
 	s.t.Helper()
 	start := time.Now()
 	time.Sleep(shortLimit + 4*time.Second)
 	if last := s.Node(id).Stats().LastArrival; last.After(start.Add(shortLimit)) {
-		s.t.Errorf("leaving upstream got new work %s after the change", last.Sub(start))
+		s.t.Errorf("leaving upstream received new work %s after the change", last.Sub(start))
 	}
 }
 
-// withDuplicates makes the fabric send a fifth of callers' packets twice.
+// withDuplicates returns the setup with a fabric that duplicates a fifth of the callers' packets.
 func withDuplicates(setup fleet.Setup) fleet.Setup {
 	setup.Duplicate = 0.2
 	return setup
 }
 
-// setEpoch returns an edit that asks for new binding keys.
+// setEpoch returns an edit of the document that sets the key epoch, which requests new binding keys.
 func setEpoch(epoch int) func(change.StoredDocument) ([]byte, error) {
 	return func(d change.StoredDocument) ([]byte, error) {
 		if bytes.Contains(d.Text, []byte(`"keyEpoch"`)) {
