--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	think      = 15 * time.Millisecond
-	refresh    = 2 * time.Second
-	startLimit = 60 * time.Second
-	settleTime = 1500 * time.Millisecond
-	// quiet is how long an event is left to take effect.
-	quiet = 5 * time.Second
+	thinkTime       = 15 * time.Millisecond
+	refreshInterval = 2 * time.Second
+	startTimeout    = 60 * time.Second
+	settleTime      = 1500 * time.Millisecond
+	// effectTime is how long an event is left to take effect.
+	effectTime = 5 * time.Second
 
 	coldSlots       = 1
 	coldConnections = 50
@@ -47,7 +47,7 @@
 	// planned events must break no stream outside the domain that they take out.
 	planned bool
 	domain  model.DomainID
-	act     func(ctx context.Context) error
+	apply   func(ctx context.Context) error
 	wait    time.Duration
 }
 
@@ -57,9 +57,9 @@
 	fleet *fleet.Fleet
 	load  *drive.Load
 	run   report.Run
-	// leaving and out are the upstream and the domain that operators have taken out; empty for none.
-	leaving string
-	out     model.DomainID
+	// drainedUpstream and out are the upstream and the domain that operators have taken out; empty for none.
+	drainedUpstream string
+	domainOut       model.DomainID
 }
 
 // Run brings about the events and returns what was measured.
@@ -70,36 +70,36 @@
 	}
 	defer f.Close()
 	d := &demo{cfg: cfg, fleet: f, run: report.Run{Setup: cfg.Setup.Name, Seed: cfg.Seed}}
-	if err := d.begin(ctx); err != nil {
+	if err := d.start(ctx); err != nil {
 		return run, err
 	}
 	defer d.load.Stop()
 	for _, ev := range d.events() {
-		if err := d.happen(ctx, ev); err != nil {
+		if err := d.runEvent(ctx, ev); err != nil {
 			return run, err
 		}
 	}
-	d.judge(ctx)
+	d.verify(ctx)
 	return d.run, nil
 }
 
-func (d *demo) begin(ctx context.Context) (err error) {
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+func (d *demo) start(ctx context.Context) (err error) {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := d.fleet.AwaitVersion(ctx, 1); err != nil {
 		return err
 	}
-	if err := d.fleet.AwaitWarm(ctx, len(d.fleet.Nodes)); err != nil {
+	if err := d.fleet.AwaitUsableSlots(ctx, len(d.fleet.Upstreams)); err != nil {
 		return err
 	}
 	d.load, err = drive.Start(drive.Config{
-		Fleet:   d.fleet,
-		Streams: d.cfg.Streams,
-		Bookers: d.cfg.Bookers,
-		Readers: d.cfg.Readers,
-		Think:   think,
-		Refresh: refresh,
-		Seed:    d.cfg.Seed,
+		Fleet:           d.fleet,
+		Streams:         d.cfg.Streams,
+		Bookers:         d.cfg.Bookers,
+		Readers:         d.cfg.Readers,
+		ThinkTime:       thinkTime,
+		RefreshInterval: refreshInterval,
+		Seed:            d.cfg.Seed,
 	})
 	if err != nil {
 		return err
@@ -112,46 +112,46 @@
 	leaving := model.UpstreamID(string(setup.Services[0].ID) + "-3")
 	domain := setup.Domains[1]
 	return []event{
-		{name: "warm up", planned: true, act: nothing, wait: 2 * quiet},
-		{name: "steady", planned: true, act: nothing, wait: 2 * quiet},
-		{name: "upstream leaves", planned: true, act: d.edit(func(c change.StoredDocument) ([]byte, error) {
-			d.leaving = string(leaving)
+		{name: "warm up", planned: true, apply: noAction, wait: 2 * effectTime},
+		{name: "steady", planned: true, apply: noAction, wait: 2 * effectTime},
+		{name: "upstream leaves", planned: true, apply: d.documentEdit(func(c change.StoredDocument) ([]byte, error) {
+			d.drainedUpstream = string(leaving)
 			return change.SetUpstreamLeaving(c, leaving, true, "for maintenance")
-		}), wait: quiet},
-		{name: "domain out", planned: true, domain: domain, act: d.edit(func(c change.StoredDocument) ([]byte, error) {
-			d.out = domain
+		}), wait: effectTime},
+		{name: "domain out", planned: true, domain: domain, apply: d.documentEdit(func(c change.StoredDocument) ([]byte, error) {
+			d.domainOut = domain
 			return change.SetDomainOut(c, domain, true, "for the season")
-		}), wait: 2 * quiet},
-		{name: "domain back", planned: true, domain: domain, act: d.edit(func(c change.StoredDocument) ([]byte, error) {
-			d.out = ""
+		}), wait: 2 * effectTime},
+		{name: "domain back", planned: true, domain: domain, apply: d.documentEdit(func(c change.StoredDocument) ([]byte, error) {
+			d.domainOut = ""
 			return change.SetDomainOut(c, domain, false, "")
-		}), wait: 2 * quiet},
-		{name: "instance stops", planned: true, domain: domain, act: func(context.Context) error {
+		}), wait: 2 * effectTime},
+		{name: "instance stops", planned: true, domain: domain, apply: func(context.Context) error {
 			f.Stop(f.Instances[0])
 			return nil
-		}, wait: 2 * quiet},
-		{name: "instance killed", act: func(context.Context) error {
+		}, wait: 2 * effectTime},
+		{name: "instance killed", apply: func(context.Context) error {
 			f.Kill(f.Instances[1])
 			return nil
-		}, wait: 2 * quiet},
+		}, wait: 2 * effectTime},
 	}
 }
 
-func nothing(context.Context) error { return nil }
+func noAction(context.Context) error { return nil }
 
-func (d *demo) edit(edit func(change.StoredDocument) ([]byte, error)) func(context.Context) error {
+func (d *demo) documentEdit(edit func(change.StoredDocument) ([]byte, error)) func(context.Context) error {
 	return func(ctx context.Context) error {
 		_, err := d.fleet.Edit(ctx, edit)
 		return err
 	}
 }
 
-// happen brings one event about and measures until it has taken effect.
-func (d *demo) happen(ctx context.Context, ev event) error {
-	before := len(d.load.Broken())
-	busy := drive.Busy(d.fleet.Nodes)
-	began := time.Now()
-	if err := ev.act(ctx); err != nil {
+// runEvent brings one event about and measures until it has taken effect.
+func (d *demo) runEvent(ctx context.Context, ev event) error {
+	brokenBefore := len(d.load.BrokenStreams())
+	busyBefore := drive.BusyTimes(d.fleet.Upstreams)
+	started := time.Now()
+	if err := ev.apply(ctx); err != nil {
 		return fmt.Errorf("%s: %w", ev.name, err)
 	}
 	select {
@@ -160,18 +160,18 @@
 		return ctx.Err()
 	}
 	p := report.Phase{
-		Name:      ev.name,
-		Planned:   ev.planned,
-		Seconds:   time.Since(began).Seconds(),
-		Broken:    len(d.load.Broken()) - before,
-		Imbalance: drive.Imbalance(d.open(), busy),
+		Name:        ev.name,
+		Planned:     ev.planned,
+		Seconds:     time.Since(started).Seconds(),
+		BrokenFlows: len(d.load.BrokenStreams()) - brokenBefore,
+		Imbalance:   drive.Imbalance(d.openUpstreams(), busyBefore),
 	}
-	for outcome, n := range d.load.Bookings(began) {
+	for outcome, n := range d.load.Bookings(started) {
 		p.Bookings = append(p.Bookings, report.Count{Name: outcome.String(), Value: int64(n)})
 	}
-	p.Sort()
+	p.SortBookings()
 	d.run.Phases = append(d.run.Phases, p)
-	fmt.Fprintf(d.cfg.Out, "%-10s %-16s broken %d, imbalance %.2f, bookings %v\n", d.cfg.Setup.Name, ev.name, p.Broken, p.Imbalance, p.Bookings)
+	fmt.Fprintf(d.cfg.Out, "%-10s %-16s broken %d, imbalance %.2f, bookings %v\n", d.cfg.Setup.Name, ev.name, p.BrokenFlows, p.Imbalance, p.Bookings)
 	d.checkPhase(ev)
 	return nil
 }
@@ -181,19 +181,19 @@
 	if !ev.planned {
 		return
 	}
-	for _, s := range d.load.Broken() {
-		domain := d.fleet.UpstreamDomains()[s.First]
+	for _, s := range d.load.BrokenStreams() {
+		domain := d.fleet.UpstreamDomains()[s.FirstUpstream]
 		if ev.domain == "" || domain != ev.domain {
-			d.run.Breaches = append(d.run.Breaches, fmt.Sprintf("%s: stream at %s broke: %+v", ev.name, s.First, s.StreamReport))
+			d.run.Breaches = append(d.run.Breaches, fmt.Sprintf("%s: stream at %s broke: %+v", ev.name, s.FirstUpstream, s.StreamReport))
 		}
 	}
 }
 
-// judge ends the load and checks what must hold.
-func (d *demo) judge(ctx context.Context) {
+// verify ends the load and checks what must hold.
+func (d *demo) verify(ctx context.Context) {
 	d.load.Stop()
 	time.Sleep(settleTime)
-	for _, b := range d.load.Verify(drive.Limits{ColdSlots: coldSlots, ColdConnections: coldConnections}) {
+	for _, b := range d.load.Verify(drive.ColdLimits{ColdSlots: coldSlots, ColdConnections: coldConnections}) {
 		d.run.Breaches = append(d.run.Breaches, b.String())
 	}
 	h := d.load.Latency()
@@ -218,16 +218,16 @@
 	return report.Counts(sums)
 }
 
-// closed reports whether operators want no work at the upstream now.
-func (d *demo) closed(name string) bool {
-	return name == d.leaving || (d.out != "" && d.fleet.UpstreamDomains()[name] == d.out)
+// takenOut reports whether operators want no work at the upstream now.
+func (d *demo) takenOut(name string) bool {
+	return name == d.drainedUpstream || (d.domainOut != "" && d.fleet.UpstreamDomains()[name] == d.domainOut)
 }
 
-// open returns the upstreams of the first service that take work.
-func (d *demo) open() []*upnode.Node {
+// openUpstreams returns the upstreams of the first service that take work.
+func (d *demo) openUpstreams() []*upnode.Node {
 	var out []*upnode.Node
-	for _, n := range d.fleet.Nodes[:d.cfg.Setup.Services[0].Upstreams] {
-		if !d.closed(n.Name()) {
+	for _, n := range d.fleet.Upstreams[:d.cfg.Setup.Services[0].Upstreams] {
+		if !d.takenOut(n.Name()) {
 			out = append(out, n)
 		}
 	}
--- a/internal/bench/drive/balance.go
+++ b/internal/bench/drive/balance.go
@@ -6,24 +6,24 @@
 	"hawthorncourse/internal/stand/upnode"
 )
 
-// Busy returns how long the slots of each upstream were in use so far.
-func Busy(nodes []*upnode.Node) map[string]time.Duration {
+// BusyTimes returns how long the slots of each upstream were in use so far.
+func BusyTimes(upstreams []*upnode.Node) map[string]time.Duration {
 	out := map[string]time.Duration{}
-	for _, n := range nodes {
+	for _, n := range upstreams {
 		out[n.Name()] = n.Stats().BusyTime
 	}
 	return out
 }
 
 // Imbalance returns the highest use of slots since before over the mean.
-func Imbalance(nodes []*upnode.Node, before map[string]time.Duration) float64 {
-	var top, sum time.Duration
-	for _, n := range nodes {
+func Imbalance(upstreams []*upnode.Node, before map[string]time.Duration) float64 {
+	var highest, sum time.Duration
+	for _, n := range upstreams {
 		busy := n.Stats().BusyTime - before[n.Name()]
-		top, sum = max(top, busy), sum+busy
+		highest, sum = max(highest, busy), sum+busy
 	}
 	if sum == 0 {
 		return 0
 	}
-	return float64(top) * float64(len(nodes)) / float64(sum)
+	return float64(highest) * float64(len(upstreams)) / float64(sum)
 }
--- a/internal/bench/drive/drive.go
+++ b/internal/bench/drive/drive.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	patience     = 4 * time.Second
-	silenceLimit = 12 * time.Second
-	awaitPause   = 50 * time.Millisecond
-	latencyLimit = int64(time.Minute / time.Microsecond)
-	digits       = 3
+	requestTimeout    = 4 * time.Second
+	stallTimeout      = 12 * time.Second
+	pollInterval      = 50 * time.Millisecond
+	maxLatencyMicros  = int64(time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
 // Config is what a Load is built from.
@@ -30,26 +30,26 @@
 	Fleet *fleet.Fleet
 	// Streams, Bookers and Readers are the callers of each service.
 	Streams, Bookers, Readers int
-	// Think is the pause of a caller between two requests.
-	Think time.Duration
-	// Refresh is how often streams are refreshed.
-	Refresh time.Duration
+	// ThinkTime is the pause of a caller between two requests.
+	ThinkTime time.Duration
+	// RefreshInterval is how often streams are refreshed.
+	RefreshInterval time.Duration
 	// Seed feeds tokens.
 	Seed uint64
 }
 
 // Booking is one booking and what its caller was told.
 type Booking struct {
-	Ref     string
-	Outcome caller.Outcome
-	At      time.Time
+	Ref         string
+	Outcome     caller.Outcome
+	CompletedAt time.Time
 }
 
 // Stream is one stream and what happened to it.
 type Stream struct {
 	caller.StreamReport
-	// First is the upstream where it was opened first.
-	First string
+	// FirstUpstream is the upstream where it was opened first.
+	FirstUpstream string
 }
 
 // Load is callers of every service at work until it is stopped.
@@ -60,13 +60,13 @@
 
 	mu sync.Mutex
 	// all below is guarded by mu.
-	bookings []Booking
-	reads    map[caller.Outcome]int
-	crossed  []string
-	refused  map[string]int
-	streams  map[int]Stream
-	latency  *hdrhistogram.Histogram
-	serial   int
+	bookings       []Booking
+	reads          map[caller.Outcome]int
+	wrongResponses []string
+	refused        map[string]int
+	streams        map[int]Stream
+	latency        *hdrhistogram.Histogram
+	lastCaller     int
 }
 
 // Start sets callers to work on every service.
@@ -78,20 +78,20 @@
 		reads:   map[caller.Outcome]int{},
 		refused: map[string]int{},
 		streams: map[int]Stream{},
-		latency: hdrhistogram.New(1, latencyLimit, digits),
+		latency: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 	}
 	for id := range cfg.Fleet.Services {
 		works := []struct {
 			count int
 			work  func(context.Context, *caller.Caller, int)
 		}{
-			{count: cfg.Streams, work: l.stream},
-			{count: cfg.Bookers, work: l.book},
-			{count: cfg.Readers, work: l.read},
+			{count: cfg.Streams, work: l.runStream},
+			{count: cfg.Bookers, work: l.runBookings},
+			{count: cfg.Readers, work: l.runReads},
 		}
 		for _, w := range works {
 			for range w.count {
-				if err := l.spawn(ctx, id, w.work); err != nil {
+				if err := l.startCaller(ctx, id, w.work); err != nil {
 					l.Stop()
 					return nil, err
 				}
@@ -101,14 +101,14 @@
 	return l, nil
 }
 
-func (l *Load) spawn(ctx context.Context, id model.ServiceID, work func(context.Context, *caller.Caller, int)) error {
-	l.serial++
-	n := l.serial
+func (l *Load) startCaller(ctx context.Context, id model.ServiceID, work func(context.Context, *caller.Caller, int)) error {
+	l.lastCaller++
+	n := l.lastCaller
 	c, err := caller.New(caller.Config{
 		Local:   l.cfg.Fleet.CallerIP(),
 		Service: l.cfg.Fleet.Services[id],
 		Seed:    l.cfg.Seed + uint64(n),
-		Timeout: patience,
+		Timeout: requestTimeout,
 	})
 	if err != nil {
 		return err
@@ -126,53 +126,53 @@
 	l.wg.Wait()
 }
 
-func (l *Load) stream(ctx context.Context, c *caller.Caller, n int) {
-	cfg := caller.StreamConfig{Path: "alerts", RefreshInterval: l.cfg.Refresh, StallTimeout: silenceLimit}
+func (l *Load) runStream(ctx context.Context, c *caller.Caller, n int) {
+	cfg := caller.StreamConfig{Path: "alerts", RefreshInterval: l.cfg.RefreshInterval, StallTimeout: stallTimeout}
 	c.RunStream(ctx, cfg, func(r caller.StreamReport) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		s := l.streams[n]
 		s.StreamReport = r
-		if s.First == "" {
-			s.First, _, _ = strings.Cut(r.StreamID, "/")
+		if s.FirstUpstream == "" {
+			s.FirstUpstream, _, _ = strings.Cut(r.StreamID, "/")
 		}
 		l.streams[n] = s
 	})
 }
 
-func (l *Load) book(ctx context.Context, c *caller.Caller, n int) {
+func (l *Load) runBookings(ctx context.Context, c *caller.Caller, n int) {
 	for k := 0; ctx.Err() == nil; k++ {
 		ref := fmt.Sprintf("ref-%d-%d", n, k)
 		res := c.Do(context.Background(), caller.Request{Code: codes.POST, Path: "bookings", Payload: ref})
 		l.mu.Lock()
-		l.bookings = append(l.bookings, Booking{Ref: ref, Outcome: res.Outcome, At: time.Now()})
-		l.note(res, strings.HasSuffix(res.Payload, " "+ref), ref)
+		l.bookings = append(l.bookings, Booking{Ref: ref, Outcome: res.Outcome, CompletedAt: time.Now()})
+		l.recordResult(res, strings.HasSuffix(res.Payload, " "+ref), ref)
 		l.mu.Unlock()
-		time.Sleep(l.cfg.Think)
+		time.Sleep(l.cfg.ThinkTime)
 	}
 }
 
-func (l *Load) read(ctx context.Context, c *caller.Caller, n int) {
+func (l *Load) runReads(ctx context.Context, c *caller.Caller, n int) {
 	for k := 0; ctx.Err() == nil; k++ {
 		query := fmt.Sprintf("q=%d-%d", n, k)
 		res := c.Do(context.Background(), caller.Request{Code: codes.GET, Path: "hives", Query: query})
 		l.mu.Lock()
 		l.reads[res.Outcome]++
-		l.note(res, strings.Contains(res.Payload, " "+query+" "), query)
+		l.recordResult(res, strings.Contains(res.Payload, " "+query+" "), query)
 		l.mu.Unlock()
-		time.Sleep(l.cfg.Think)
+		time.Sleep(l.cfg.ThinkTime)
 	}
 }
 
-// note keeps what a caller was told; mu must be held.
-func (l *Load) note(res caller.Result, own bool, request string) {
+// recordResult keeps what a caller was told; mu must be held.
+func (l *Load) recordResult(res caller.Result, matches bool, request string) {
 	if res.Outcome != caller.OutcomeDone {
 		l.refused[res.Outcome.String()+": "+res.Payload]++
 		return
 	}
 	_ = l.latency.RecordValue(res.Latency.Microseconds())
-	if !own {
-		l.crossed = append(l.crossed, request+" got "+res.Payload)
+	if !matches {
+		l.wrongResponses = append(l.wrongResponses, request+" got "+res.Payload)
 	}
 }
 
@@ -190,7 +190,7 @@
 			return nil
 		}
 		select {
-		case <-time.After(awaitPause):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return fmt.Errorf("only %d of %d streams are open", open, want)
 		}
@@ -208,8 +208,8 @@
 	return out
 }
 
-// Broken returns the streams that broke so far.
-func (l *Load) Broken() []Stream {
+// BrokenStreams returns the streams that broke so far.
+func (l *Load) BrokenStreams() []Stream {
 	var out []Stream
 	for _, s := range l.Streams() {
 		if s.Breaks() > 0 {
@@ -225,7 +225,7 @@
 	defer l.mu.Unlock()
 	out := map[caller.Outcome]int{}
 	for _, b := range l.bookings {
-		if b.At.After(since) {
+		if b.CompletedAt.After(since) {
 			out[b.Outcome]++
 		}
 	}
--- a/internal/bench/drive/verify.go
+++ b/internal/bench/drive/verify.go
@@ -8,42 +8,42 @@
 	"hawthorncourse/internal/stand/upnode"
 )
 
-// Promise names one of the things that must always hold.
-type Promise string
+// Invariant names one of the things that must always hold.
+type Invariant string
 
 // The promises that hold under every fault.
 const (
-	PromiseService Promise = "no packet reaches another service"
-	PromiseCold    Promise = "no more than a cold start bears"
-	PromiseAnswer  Promise = "the whole answer to the own request"
-	PromiseNotRun  Promise = "a refusal as not run is true"
-	PromiseOnce    Promise = "at most once"
+	InvariantServiceIsolation Invariant = "no packet reaches another service"
+	InvariantColdLimits       Invariant = "no more than a cold start bears"
+	InvariantResponse         Invariant = "the whole answer to the own request"
+	InvariantNotRun           Invariant = "a refusal as not run is true"
+	InvariantAtMostOnce       Invariant = "at most once"
 )
 
-// Breach is one case in which a promise did not hold.
-type Breach struct {
-	Promise Promise
-	Text    string
+// Violation is one case in which a promise did not hold.
+type Violation struct {
+	Invariant Invariant
+	Text      string
 }
 
 // String returns the breach as one line.
-func (b Breach) String() string {
-	return string(b.Promise) + ": " + b.Text
+func (v Violation) String() string {
+	return string(v.Invariant) + ": " + v.Text
 }
 
-// Limits is what a cold start bears.
-type Limits struct {
+// ColdLimits is what a cold start bears.
+type ColdLimits struct {
 	ColdSlots, ColdConnections int
 }
 
 // Verify compares what callers were told with the journals of the upstreams; the load must be stopped.
-func (l *Load) Verify(limits Limits) []Breach {
-	var out []Breach
+func (l *Load) Verify(limits ColdLimits) []Violation {
+	var out []Violation
 	runs := map[string]int{}
-	for _, n := range l.cfg.Fleet.Nodes {
-		j := n.Stats()
-		out = append(out, verifyJournal(n.Name(), j, limits)...)
-		for ref, count := range j.Executions {
+	for _, n := range l.cfg.Fleet.Upstreams {
+		stats := n.Stats()
+		out = append(out, verifyStats(n.Name(), stats, limits)...)
+		for ref, count := range stats.Executions {
 			runs[ref] += count
 		}
 	}
@@ -52,35 +52,37 @@
 	for _, b := range l.bookings {
 		out = append(out, verifyBooking(b, runs[b.Ref])...)
 	}
-	for _, text := range l.crossed {
-		out = append(out, Breach{Promise: PromiseAnswer, Text: text})
+	for _, text := range l.wrongResponses {
+		out = append(out, Violation{Invariant: InvariantResponse, Text: text})
 	}
-	slices.SortStableFunc(out, func(a, b Breach) int { return slices.Compare([]string{string(a.Promise)}, []string{string(b.Promise)}) })
+	slices.SortStableFunc(out, func(a, b Violation) int {
+		return slices.Compare([]string{string(a.Invariant)}, []string{string(b.Invariant)})
+	})
 	return out
 }
 
-func verifyJournal(name string, j upnode.Stats, limits Limits) (out []Breach) {
-	if j.Misrouted > 0 {
-		out = append(out, Breach{Promise: PromiseService, Text: fmt.Sprintf("%s got %d packets of another service", name, j.Misrouted)})
+func verifyStats(name string, stats upnode.Stats, limits ColdLimits) (out []Violation) {
+	if stats.Misrouted > 0 {
+		out = append(out, Violation{Invariant: InvariantServiceIsolation, Text: fmt.Sprintf("%s got %d packets of another service", name, stats.Misrouted)})
 	}
-	if j.MaxColdRunning > limits.ColdSlots {
-		out = append(out, Breach{Promise: PromiseCold, Text: fmt.Sprintf("%s had %d requests at once, it bears %d", name, j.MaxColdRunning, limits.ColdSlots)})
+	if stats.MaxColdRunning > limits.ColdSlots {
+		out = append(out, Violation{Invariant: InvariantColdLimits, Text: fmt.Sprintf("%s had %d requests at once, it bears %d", name, stats.MaxColdRunning, limits.ColdSlots)})
 	}
-	if j.MaxColdOpened > limits.ColdConnections {
-		out = append(out, Breach{Promise: PromiseCold, Text: fmt.Sprintf("%s had %d streams opened, it bears %d", name, j.MaxColdOpened, limits.ColdConnections)})
+	if stats.MaxColdOpened > limits.ColdConnections {
+		out = append(out, Violation{Invariant: InvariantColdLimits, Text: fmt.Sprintf("%s had %d streams opened, it bears %d", name, stats.MaxColdOpened, limits.ColdConnections)})
 	}
 	return out
 }
 
-func verifyBooking(b Booking, runs int) (out []Breach) {
+func verifyBooking(b Booking, runs int) (out []Violation) {
 	if runs > 1 {
-		out = append(out, Breach{Promise: PromiseOnce, Text: fmt.Sprintf("booking %s ran %d times", b.Ref, runs)})
+		out = append(out, Violation{Invariant: InvariantAtMostOnce, Text: fmt.Sprintf("booking %s ran %d times", b.Ref, runs)})
 	}
 	if b.Outcome == caller.OutcomeNotRun && runs > 0 {
-		out = append(out, Breach{Promise: PromiseNotRun, Text: fmt.Sprintf("booking %s ran", b.Ref)})
+		out = append(out, Violation{Invariant: InvariantNotRun, Text: fmt.Sprintf("booking %s ran", b.Ref)})
 	}
 	if b.Outcome == caller.OutcomeDone && runs == 0 {
-		out = append(out, Breach{Promise: PromiseAnswer, Text: fmt.Sprintf("booking %s was said to be done and never ran", b.Ref)})
+		out = append(out, Violation{Invariant: InvariantResponse, Text: fmt.Sprintf("booking %s was said to be done and never ran", b.Ref)})
 	}
 	return out
 }
--- a/internal/bench/fleet/fleet.go
+++ b/internal/bench/fleet/fleet.go
@@ -27,7 +27,7 @@
 const (
 	portFront    = 7000
 	portBack     = 7001
-	portHand     = 7002
+	portHandOff  = 7002
 	portControl  = 7003
 	portAdmin    = 7004
 	portUpstream = 7100
@@ -36,24 +36,24 @@
 	portPlatform = 7400
 	portLock     = 7999
 
-	firstBase = 20
-	lastBase  = 250
-	listLag   = time.Second
+	firstBlock    = 20
+	lastBlock     = 250
+	endpointDelay = time.Second
 )
 
-// Role names what a link leads to.
-type Role uint8
+// LinkKind names what a link leads to.
+type LinkKind uint8
 
 // The roles of links.
 const (
-	RoleUpstream Role = iota + 1
-	RoleControl
-	RoleHand
-	RolePlatform
+	LinkUpstream LinkKind = iota + 1
+	LinkControl
+	LinkHandOff
+	LinkPlatform
 )
 
-// Wiring may put something in the way of a link: it returns the address to use in place of the real one.
-type Wiring func(role Role, owner string, real netip.AddrPort) (netip.AddrPort, error)
+// Interposer may put something in the way of a link: it returns the address to use in place of the real one.
+type Interposer func(role LinkKind, owner string, real netip.AddrPort) (netip.AddrPort, error)
 
 // Config is what a Fleet is built from.
 type Config struct {
@@ -62,8 +62,8 @@
 	Binary string
 	// Dir holds settings and logs.
 	Dir string
-	// Wiring may be nil for direct links.
-	Wiring Wiring
+	// Interposer may be nil for direct links.
+	Interposer Interposer
 	// Seed feeds every random choice.
 	Seed uint64
 	// LogLevel is that of the entry processes.
@@ -74,13 +74,13 @@
 
 // Fleet is a running set-up.
 type Fleet struct {
-	cfg  Config
-	base int
-	lock net.Listener
+	cfg          Config
+	block        int
+	lockListener net.Listener
 
 	Store     *stand.Store
 	Fabric    *spray.Fabric
-	Nodes     []*upnode.Node
+	Upstreams []*upnode.Node
 	Instances []*Instance
 	// Services holds the service addresses by name.
 	Services map[model.ServiceID]netip.AddrPort
@@ -91,8 +91,8 @@
 	cancel       context.CancelFunc
 
 	mu sync.Mutex
-	// gone holds the instances that the fabric leaves out, guarded by mu.
-	gone map[model.InstanceID]bool
+	// excluded holds the instances that the fabric leaves out, guarded by mu.
+	excluded map[model.InstanceID]bool
 	// listed holds the instances in the platform's list; guarded by mu.
 	listed []model.InstanceID
 }
@@ -107,8 +107,8 @@
 			}
 		}
 	}()
-	f = &Fleet{cfg: cfg, Store: stand.NewStore(), Services: map[model.ServiceID]netip.AddrPort{}, gone: map[model.InstanceID]bool{}}
-	if err := f.claim(); err != nil {
+	f = &Fleet{cfg: cfg, Store: stand.NewStore(), Services: map[model.ServiceID]netip.AddrPort{}, excluded: map[model.InstanceID]bool{}}
+	if err := f.reserveBlock(); err != nil {
 		return f, err
 	}
 	ctx, f.cancel = context.WithCancel(ctx)
@@ -119,16 +119,16 @@
 	if err := f.startFabric(ctx); err != nil {
 		return f, err
 	}
-	if err := f.startNodes(ctx); err != nil {
+	if err := f.startUpstreams(ctx); err != nil {
 		return f, err
 	}
-	if err := f.describeInstances(); err != nil {
+	if err := f.defineInstances(); err != nil {
 		return f, err
 	}
 	if _, err := f.Apply(ctx, f.document()); err != nil {
 		return f, err
 	}
-	f.list()
+	f.publishInstances()
 	for _, in := range f.Instances {
 		if err := f.StartInstance(in); err != nil {
 			return f, err
@@ -137,20 +137,20 @@
 	return f, nil
 }
 
-// claim finds a block of loopback addresses that no other fleet uses.
-func (f *Fleet) claim() error {
-	for n := firstBase + int(f.cfg.Seed)%100; n <= lastBase; n++ {
+// reserveBlock finds a block of loopback addresses that no other fleet uses.
+func (f *Fleet) reserveBlock() error {
+	for n := firstBlock + int(f.cfg.Seed)%100; n <= lastBlock; n++ {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", n, portLock))
 		if err == nil {
-			f.base, f.lock = n, l
+			f.block, f.lockListener = n, l
 			return nil
 		}
 	}
 	return eris.New("every block of loopback addresses is in use")
 }
 
-func (f *Fleet) addr(group, host, port int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(f.base), byte(group), byte(host)}), uint16(port))
+func (f *Fleet) addr(subnet, host, port int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(f.block), byte(subnet), byte(host)}), uint16(port))
 }
 
 // CallerIP returns the IP address of callers.
@@ -159,15 +159,15 @@
 }
 
 // Address returns an unused address of the fleet's block, for wirings.
-func (f *Fleet) Address(group, host, port int) netip.AddrPort {
-	return f.addr(group, host, port)
+func (f *Fleet) Address(subnet, host, port int) netip.AddrPort {
+	return f.addr(subnet, host, port)
 }
 
-func (f *Fleet) wire(role Role, owner string, real netip.AddrPort) (netip.AddrPort, error) {
-	if f.cfg.Wiring == nil {
-		return real, nil
+func (f *Fleet) linkAddress(kind LinkKind, server string, target netip.AddrPort) (netip.AddrPort, error) {
+	if f.cfg.Interposer == nil {
+		return target, nil
 	}
-	return f.cfg.Wiring(role, owner, real)
+	return f.cfg.Interposer(kind, server, target)
 }
 
 func (f *Fleet) startPlatform() error {
@@ -182,7 +182,7 @@
 		}
 		return nil
 	})
-	f.platformAddr, err = f.wire(RolePlatform, "platform", f.addr(0, 3, portPlatform))
+	f.platformAddr, err = f.linkAddress(LinkPlatform, "platform", f.addr(0, 3, portPlatform))
 	return err
 }
 
@@ -193,7 +193,7 @@
 		f.Services[s.ID] = addr
 		services = append(services, addr)
 	}
-	f.Fabric, err = spray.New(spray.Config{EgressAddress: f.addr(0, 2, portFabric), Services: services, Seed: f.cfg.Seed, DuplicateRate: f.cfg.Setup.Duplicate})
+	f.Fabric, err = spray.New(spray.Config{EgressAddress: f.addr(0, 2, portFabric), Services: services, Seed: f.cfg.Seed, DuplicateRate: f.cfg.Setup.DuplicateRate})
 	if err != nil {
 		return err
 	}
@@ -201,23 +201,23 @@
 	return nil
 }
 
-func (f *Fleet) startNodes(ctx context.Context) error {
+func (f *Fleet) startUpstreams(ctx context.Context) error {
 	for s, svc := range f.cfg.Setup.Services {
 		for n := range svc.Upstreams {
-			node, err := upnode.New(f.cfg.Setup.node(svc, n, f.Services[svc.ID], f.addr(20+s, 1+n, portUpstream), f.cfg.Seed))
+			node, err := upnode.New(f.cfg.Setup.upstreamConfig(svc, n, f.Services[svc.ID], f.addr(20+s, 1+n, portUpstream), f.cfg.Seed))
 			if err != nil {
 				return err
 			}
-			f.Nodes = append(f.Nodes, node)
+			f.Upstreams = append(f.Upstreams, node)
 			f.group.Go(func() error { return node.Run(ctx) })
 		}
 	}
 	return nil
 }
 
-// Node returns the named upstream.
-func (f *Fleet) Node(name string) *upnode.Node {
-	for _, n := range f.Nodes {
+// Upstream returns the named upstream.
+func (f *Fleet) Upstream(name string) *upnode.Node {
+	for _, n := range f.Upstreams {
 		if n.Name() == name {
 			return n
 		}
@@ -225,25 +225,25 @@
 	return nil
 }
 
-// list tells the fabric and the platform's list which instances there are.
-func (f *Fleet) list() {
+// publishInstances tells the fabric and the platform's list which instances there are.
+func (f *Fleet) publishInstances() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var targets []netip.AddrPort
 	var list []object.Instance
 	for _, in := range f.Instances {
-		if f.gone[in.ID] {
+		if f.excluded[in.ID] {
 			continue
 		}
 		targets = append(targets, in.Front)
-		list = append(list, object.Instance{ID: in.ID, Domain: in.Domain, Control: in.Advertise, Leaving: in.leaving})
+		list = append(list, object.Instance{ID: in.ID, Domain: in.Domain, Control: in.AdvertisedControl, Leaving: in.leaving})
 	}
 	f.Fabric.SetInstances(targets)
-	f.listInstances(list)
+	f.replaceListed(list)
 }
 
-// listInstances puts the instances into the platform's list in place of those before.
-func (f *Fleet) listInstances(list []object.Instance) {
+// replaceListed puts the instances into the platform's list in place of those before.
+func (f *Fleet) replaceListed(list []object.Instance) {
 	kind := string(object.KindInstances)
 	for _, id := range f.listed {
 		f.Store.Remove(kind, string(id))
@@ -259,12 +259,12 @@
 	}
 }
 
-// setGone changes, after the lag of the platform, whether packets go to the instance.
-func (f *Fleet) setGone(id model.InstanceID, gone bool) {
+// setExcluded changes, after the lag of the platform, whether packets go to the instance.
+func (f *Fleet) setExcluded(id model.InstanceID, excluded bool) {
 	f.mu.Lock()
-	f.gone[id] = gone
+	f.excluded[id] = excluded
 	f.mu.Unlock()
-	time.AfterFunc(listLag, f.list)
+	time.AfterFunc(endpointDelay, f.publishInstances)
 }
 
 // Close ends every process and stand-in.
@@ -281,8 +281,8 @@
 	if f.group != nil {
 		_ = f.group.Wait()
 	}
-	if f.lock != nil {
-		_ = f.lock.Close()
+	if f.lockListener != nil {
+		_ = f.lockListener.Close()
 	}
 }
 
@@ -307,7 +307,7 @@
 	return out
 }
 
-// Size returns the number of instances that the set-up names.
-func (f *Fleet) Size() int {
+// InstanceCount returns the number of instances that the set-up names.
+func (f *Fleet) InstanceCount() int {
 	return f.cfg.Setup.Instances
 }
--- a/internal/bench/fleet/instance.go
+++ b/internal/bench/fleet/instance.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	readyPause = 50 * time.Millisecond
-	// instancesEach bounds the instances of one loopback subnet.
-	instancesEach = 200
-	groupFirst    = 100
+	pollInterval = 50 * time.Millisecond
+	// instancesPerSubnet bounds the instances of one loopback subnet.
+	instancesPerSubnet  = 200
+	firstInstanceSubnet = 100
 )
 
 // Instance is one entry process.
@@ -28,42 +28,42 @@
 	ID     model.InstanceID
 	Domain model.DomainID
 	// Front, Back, Hand, Control and Admin are where it listens.
-	Front, Back, Hand, Control, Admin netip.AddrPort
-	// Advertise and AdvertiseHand are where peers reach Control and Hand.
-	Advertise, AdvertiseHand netip.AddrPort
+	Front, Back, HandOff, Control, Admin netip.AddrPort
+	// AdvertisedControl and AdvertiseHand are where peers reach Control and Hand.
+	AdvertisedControl, AdvertisedHandOff netip.AddrPort
 
 	cmd     *exec.Cmd
 	exited  chan struct{}
 	leaving bool
 }
 
-// describeInstances lays out the instances without starting them.
-func (f *Fleet) describeInstances() error {
+// defineInstances lays out the instances without starting them.
+func (f *Fleet) defineInstances() error {
 	s := f.cfg.Setup
 	for n := range s.Instances {
-		if _, err := f.describe(n, s.domainOf(n)); err != nil {
+		if _, err := f.defineInstance(n, s.domainOf(n)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) describe(n int, domain model.DomainID) (*Instance, error) {
-	group, host := groupFirst+n/instancesEach, 1+n%instancesEach
+func (f *Fleet) defineInstance(index int, domain model.DomainID) (*Instance, error) {
+	subnet, host := firstInstanceSubnet+index/instancesPerSubnet, 1+index%instancesPerSubnet
 	in := &Instance{
-		ID:      model.InstanceID(fmt.Sprintf("%s-%d", domain, n+1)),
+		ID:      model.InstanceID(fmt.Sprintf("%s-%d", domain, index+1)),
 		Domain:  domain,
-		Front:   f.addr(group, host, portFront),
-		Back:    f.addr(group, host, portBack),
-		Hand:    f.addr(group, host, portHand),
-		Control: f.addr(group, host, portControl),
-		Admin:   f.addr(group, host, portAdmin),
+		Front:   f.addr(subnet, host, portFront),
+		Back:    f.addr(subnet, host, portBack),
+		HandOff: f.addr(subnet, host, portHandOff),
+		Control: f.addr(subnet, host, portControl),
+		Admin:   f.addr(subnet, host, portAdmin),
 	}
 	var err error
-	if in.Advertise, err = f.wire(RoleControl, string(in.ID), in.Control); err != nil {
+	if in.AdvertisedControl, err = f.linkAddress(LinkControl, string(in.ID), in.Control); err != nil {
 		return nil, err
 	}
-	if in.AdvertiseHand, err = f.wire(RoleHand, string(in.ID), in.Hand); err != nil {
+	if in.AdvertisedHandOff, err = f.linkAddress(LinkHandOff, string(in.ID), in.HandOff); err != nil {
 		return nil, err
 	}
 	f.Instances = append(f.Instances, in)
@@ -72,19 +72,19 @@
 
 // AddInstance starts one more instance in the domain.
 func (f *Fleet) AddInstance(domain model.DomainID) (*Instance, error) {
-	in, err := f.describe(len(f.Instances), domain)
+	in, err := f.defineInstance(len(f.Instances), domain)
 	if err != nil {
 		return nil, err
 	}
 	if err := f.StartInstance(in); err != nil {
 		return nil, err
 	}
-	f.setGone(in.ID, false)
+	f.setExcluded(in.ID, false)
 	return in, nil
 }
 
-// wireSettings is an instance's settings.
-type wireSettings struct {
+// settingsJSON is an instance's settings.
+type settingsJSON struct {
 	Instance      string `json:"instance"`
 	Domain        string `json:"domain"`
 	Front         string `json:"front"`
@@ -109,15 +109,15 @@
 	if level == "" {
 		level = "info"
 	}
-	raw, _ := json.MarshalIndent(wireSettings{
+	raw, _ := json.MarshalIndent(settingsJSON{
 		Instance:      string(in.ID),
 		Domain:        string(in.Domain),
 		Front:         in.Front.String(),
 		Back:          in.Back.String(),
-		Hand:          in.Hand.String(),
+		Hand:          in.HandOff.String(),
 		Control:       in.Control.String(),
-		Advertise:     in.Advertise.String(),
-		AdvertiseHand: in.AdvertiseHand.String(),
+		Advertise:     in.AdvertisedControl.String(),
+		AdvertiseHand: in.AdvertisedHandOff.String(),
 		Admin:         in.Admin.String(),
 		Fabric:        f.Fabric.EgressAddress().String(),
 		Platform:      "http://" + f.platformAddr.String(),
@@ -172,14 +172,14 @@
 	if err := f.StartInstance(in); err != nil {
 		return err
 	}
-	f.setGone(in.ID, false)
+	f.setExcluded(in.ID, false)
 	return nil
 }
 
 // Kill ends the process at once; the fabric notices later.
 func (f *Fleet) Kill(in *Instance) {
 	in.kill()
-	f.setGone(in.ID, true)
+	f.setExcluded(in.ID, true)
 }
 
 func (in *Instance) kill() {
@@ -206,7 +206,7 @@
 	f.mu.Lock()
 	in.leaving = true
 	f.mu.Unlock()
-	f.setGone(in.ID, true)
+	f.setExcluded(in.ID, true)
 }
 
 // Exited is closed when the process has ended.
@@ -238,7 +238,7 @@
 		select {
 		case <-ctx.Done():
 			return eris.Errorf("instance %s has version %d, not %d: %v", in.ID, w.Document, v, err)
-		case <-time.After(readyPause):
+		case <-time.After(pollInterval):
 		}
 	}
 }
@@ -248,8 +248,8 @@
 	return status.Fetch(ctx, in.Admin.String())
 }
 
-// AwaitWarm waits until every upstream of every service is warm somewhere or the context ends.
-func (f *Fleet) AwaitWarm(ctx context.Context, want int) error {
+// AwaitUsableSlots waits until every upstream of every service is warm somewhere or the context ends.
+func (f *Fleet) AwaitUsableSlots(ctx context.Context, want int) error {
 	for {
 		usable := 0
 		for _, in := range f.Instances {
@@ -267,7 +267,7 @@
 		select {
 		case <-ctx.Done():
 			return eris.Errorf("only %d of %d slots are usable", usable, want)
-		case <-time.After(readyPause):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/internal/bench/fleet/operate.go
+++ b/internal/bench/fleet/operate.go
@@ -35,10 +35,10 @@
 }
 
 func (f *Fleet) client() *object.Client {
-	return object.NewClient(f.Platform(), netip.Addr{})
+	return object.NewClient(f.PlatformURL(), netip.Addr{})
 }
 
-// Platform returns the URL of the platform for operators.
-func (f *Fleet) Platform() string {
+// PlatformURL returns the URL of the platform for operators.
+func (f *Fleet) PlatformURL() string {
 	return "http://" + f.addr(0, 3, portPlatform).String()
 }
--- a/internal/bench/fleet/setup.go
+++ b/internal/bench/fleet/setup.go
@@ -18,20 +18,20 @@
 	Services []Service
 	// Instances is the number of entry instances, spread over the domains in turn.
 	Instances int
-	// ServiceTime is the mean time of one request at the fastest upstream.
-	ServiceTime time.Duration
-	// Slowest is how many times slower the slowest upstream is.
-	Slowest float64
-	// NoticeEvery is the time between notifications of a stream.
-	NoticeEvery time.Duration
-	// Ghosts is the number of upstreams that stand in the document only.
-	Ghosts int
-	// Duplicate is the share of callers' packets that the fabric doubles.
-	Duplicate float64
+	// RequestTime is the mean time of one request at the fastest upstream.
+	RequestTime time.Duration
+	// MaxSlowdown is how many times slower the slowest upstream is.
+	MaxSlowdown float64
+	// NotificationInterval is the time between notifications of a stream.
+	NotificationInterval time.Duration
+	// AbsentUpstreams is the number of upstreams that stand in the document only.
+	AbsentUpstreams int
+	// DuplicateRate is the share of callers' packets that the fabric doubles.
+	DuplicateRate float64
 	// Timing of the document; zero values are left to their defaults.
-	Detection, WarmLease, BindingLife time.Duration
-	RequestTimeout, Refresh           time.Duration
-	ColdFor                           time.Duration
+	Detection, WarmLease, BindingLifetime time.Duration
+	RequestTimeout, RefreshInterval       time.Duration
+	ColdDuration                          time.Duration
 }
 
 // Service is one service of a set-up.
@@ -45,28 +45,28 @@
 
 // The sizes of both set-ups, as they run today.
 const (
-	instances        = 7
-	largeUpstreams   = 14
-	smallUpstreams   = 4
-	connections      = 2000
-	regieSlots       = 2
-	ikirereSlots     = 3
-	serviceTime      = 8 * time.Millisecond
-	slowest          = 4
-	noticeEvery      = time.Second
-	coldFor          = 3 * time.Second
-	refresh          = 3 * time.Second
-	requestTimeout   = time.Second
-	bindingLife      = 4 * time.Second
-	detection        = 2 * time.Second
-	warmLease        = 1500 * time.Millisecond
-	coldShareOfSlots = 1
-	coldConnections  = 50
+	instanceCount        = 7
+	largeUpstreams       = 14
+	smallUpstreams       = 4
+	connections          = 2000
+	regieSlots           = 2
+	ikirereSlots         = 3
+	requestTime          = 8 * time.Millisecond
+	maxSlowdown          = 4
+	notificationInterval = time.Second
+	coldDuration         = 3 * time.Second
+	refreshInterval      = 3 * time.Second
+	requestTimeout       = time.Second
+	bindingLifetime      = 4 * time.Second
+	detection            = 2 * time.Second
+	warmLease            = 1500 * time.Millisecond
+	coldSlots            = 1
+	coldConnections      = 50
 )
 
 // Regie returns the set-up of the Régie.
 func Regie() Setup {
-	return base("regie", "wallonie", []model.DomainID{"namur-ville", "jambes", "gembloux"}, []Service{
+	return newSetup("regie", "wallonie", []model.DomainID{"namur-ville", "jambes", "gembloux"}, []Service{
 		{ID: "ruche-service", Kind: "coap", Upstreams: largeUpstreams, Slots: regieSlots, Connections: connections},
 		{ID: "inspection-depot", Kind: "coap", Upstreams: smallUpstreams, Slots: regieSlots, Connections: connections},
 	})
@@ -74,88 +74,88 @@
 
 // Ikirere returns the set-up of Ikirere.
 func Ikirere() Setup {
-	return base("ikirere", "rw-north", []model.DomainID{"musanze", "gakenke", "burera"}, []Service{
+	return newSetup("ikirere", "rw-north", []model.DomainID{"musanze", "gakenke", "burera"}, []Service{
 		{ID: "order-desk", Kind: "coap", Upstreams: largeUpstreams, Slots: ikirereSlots, Connections: connections},
 		{ID: "field-claims", Kind: "coap", Upstreams: smallUpstreams, Slots: ikirereSlots, Connections: connections},
 	})
 }
 
-func base(name, region string, domains []model.DomainID, services []Service) Setup {
+func newSetup(name, region string, domains []model.DomainID, services []Service) Setup {
 	return Setup{
-		Name:           name,
-		Region:         region,
-		Domains:        domains,
-		Services:       services,
-		Instances:      instances,
-		ServiceTime:    serviceTime,
-		Slowest:        slowest,
-		NoticeEvery:    noticeEvery,
-		Detection:      detection,
-		WarmLease:      warmLease,
-		BindingLife:    bindingLife,
-		RequestTimeout: requestTimeout,
-		Refresh:        refresh,
-		ColdFor:        coldFor,
+		Name:                 name,
+		Region:               region,
+		Domains:              domains,
+		Services:             services,
+		Instances:            instanceCount,
+		RequestTime:          requestTime,
+		MaxSlowdown:          maxSlowdown,
+		NotificationInterval: notificationInterval,
+		Detection:            detection,
+		WarmLease:            warmLease,
+		BindingLifetime:      bindingLifetime,
+		RequestTimeout:       requestTimeout,
+		RefreshInterval:      refreshInterval,
+		ColdDuration:         coldDuration,
 	}
 }
 
-// node returns the stand-in of the service's n-th upstream; the last is the slowest.
-func (s Setup) node(svc Service, n int, service, addr netip.AddrPort, seed uint64) upnode.Config {
-	slower := 1.0
+// upstreamConfig returns the stand-in of the service's n-th upstream; the last is the slowest.
+func (s Setup) upstreamConfig(svc Service, index int, service, addr netip.AddrPort, seed uint64) upnode.Config {
+	slowdown := 1.0
 	if svc.Upstreams > 1 {
-		slower += (s.Slowest - 1) * float64(n) / float64(svc.Upstreams-1)
+		slowdown += (s.MaxSlowdown - 1) * float64(index) / float64(svc.Upstreams-1)
 	}
 	return upnode.Config{
-		Name:                 upstreamName(svc, n),
+		Name:                 upstreamName(svc, index),
 		Service:              service,
 		Address:              addr,
 		Slots:                svc.Slots,
 		Connections:          svc.Connections,
-		ColdSlots:            coldShareOfSlots,
+		ColdSlots:            coldSlots,
 		ColdConnections:      coldConnections,
-		ColdFor:              s.ColdFor,
-		RequestTime:          time.Duration(slower * float64(s.ServiceTime)),
-		NotificationInterval: s.NoticeEvery,
+		ColdFor:              s.ColdDuration,
+		RequestTime:          time.Duration(slowdown * float64(s.RequestTime)),
+		NotificationInterval: s.NotificationInterval,
 		Opaque:               svc.Kind == "datagram",
-		Seed:                 seed + uint64(n),
+		Seed:                 seed + uint64(index),
 	}
 }
 
-func upstreamName(svc Service, n int) string {
-	return fmt.Sprintf("%s-%d", svc.ID, n+1)
+func upstreamName(svc Service, index int) string {
+	return fmt.Sprintf("%s-%d", svc.ID, index+1)
 }
 
 // domainOf returns the domain of a service's n-th upstream.
-func (s Setup) domainOf(n int) model.DomainID {
-	return s.Domains[n%len(s.Domains)]
+func (s Setup) domainOf(index int) model.DomainID {
+	return s.Domains[index%len(s.Domains)]
 }
 
 // The wire types of the documents that fleets send.
 type (
-	wireDocument struct {
+	documentJSON struct {
 		Note     string        `json:"note"`
-		Timing   wireTiming    `json:"timing"`
-		Domains  []wireDomain  `json:"domains"`
-		Services []wireService `json:"services"`
+		Timing   timingJSON    `json:"timing"`
+		Domains  []domainJSON  `json:"domains"`
+		Services []serviceJSON `json:"services"`
 	}
-	wireTiming struct {
+	timingJSON struct {
 		Detection   string `json:"detection"`
 		WarmLease   string `json:"warmLease"`
 		BindingLife string `json:"bindingLife"`
 	}
-	wireDomain struct {
+	domainJSON struct {
 		ID     string `json:"id"`
 		Region string `json:"region"`
 	}
-	wireService struct {
+	serviceJSON struct {
 		ID              string         `json:"id"`
 		Kind            string         `json:"kind"`
 		Address         string         `json:"address"`
 		RequestTimeout  string         `json:"requestTimeout"`
 		RefreshInterval string         `json:"refreshInterval"`
-		Upstreams       []wireUpstream `json:"upstreams"`
+		Upstreams       []upstreamJSON `json:"upstreams"`
 	}
-	wireUpstream struct {
+	upstreamJSON struct {
 		ID              string `json:"id"`
 		Domain          string `json:"domain"`
 		Address         string `json:"address"`
@@ -171,82 +171,82 @@
 // document returns the set-up as the operators' document.
 func (f *Fleet) document() []byte {
 	s := f.cfg.Setup
-	doc := wireDocument{
+	doc := documentJSON{
 		Note:   "Set-up " + s.Name,
-		Timing: wireTiming{Detection: s.Detection.String(), WarmLease: s.WarmLease.String(), BindingLife: s.BindingLife.String()},
+		Timing: timingJSON{Detection: s.Detection.String(), WarmLease: s.WarmLease.String(), BindingLife: s.BindingLifetime.String()},
 	}
 	for _, id := range s.Domains {
-		doc.Domains = append(doc.Domains, wireDomain{ID: string(id), Region: s.Region})
+		doc.Domains = append(doc.Domains, domainJSON{ID: string(id), Region: s.Region})
 	}
-	node := 0
+	fakeIndex := 0
 	for _, svc := range s.Services {
-		ws := wireService{
+		entry := serviceJSON{
 			ID:              string(svc.ID),
 			Kind:            svc.Kind,
 			Address:         f.Services[svc.ID].String(),
 			RequestTimeout:  s.RequestTimeout.String(),
-			RefreshInterval: s.Refresh.String(),
+			RefreshInterval: s.RefreshInterval.String(),
 		}
 		for n := range svc.Upstreams {
-			ws.Upstreams = append(ws.Upstreams, f.wireUpstream(svc, n, node))
-			node++
+			entry.Upstreams = append(entry.Upstreams, f.upstreamEntry(svc, n, fakeIndex))
+			fakeIndex++
 		}
-		doc.Services = append(doc.Services, ws)
+		doc.Services = append(doc.Services, entry)
 	}
-	doc.Services = append(doc.Services, f.ghosts()...)
+	doc.Services = append(doc.Services, f.absentServices()...)
 	text, _ := json.MarshalIndent(doc, "", "\t")
 	return text
 }
 
 const (
-	// ghostsEach is the number of upstreams behind one address.
-	ghostsEach = 11
-	ghostGroup = 150
-	hostsEach  = 250
+	// absentPerService is the number of upstreams behind one address.
+	absentPerService  = 11
+	firstAbsentSubnet = 150
+	hostsPerSubnet    = 250
 )
 
-// ghosts returns services whose upstreams do not exist.
-func (f *Fleet) ghosts() []wireService {
-	var out []wireService
-	for n := range f.cfg.Setup.Ghosts {
-		if n%ghostsEach == 0 {
-			out = append(out, wireService{
-				ID:              fmt.Sprintf("ghost-%d", n/ghostsEach),
+// absentServices returns services whose upstreams do not exist.
+func (f *Fleet) absentServices() []serviceJSON {
+	var out []serviceJSON
+	for n := range f.cfg.Setup.AbsentUpstreams {
+		if n%absentPerService == 0 {
+			out = append(out, serviceJSON{
+				ID:              fmt.Sprintf("ghost-%d", n/absentPerService),
 				Kind:            "coap",
-				Address:         f.addr(0, 200, portService+1+n/ghostsEach).String(),
+				Address:         f.addr(0, 200, portService+1+n/absentPerService).String(),
 				RequestTimeout:  f.cfg.Setup.RequestTimeout.String(),
-				RefreshInterval: f.cfg.Setup.Refresh.String(),
+				RefreshInterval: f.cfg.Setup.RefreshInterval.String(),
 			})
 		}
 		svc := &out[len(out)-1]
-		svc.Upstreams = append(svc.Upstreams, wireUpstream{
+		svc.Upstreams = append(svc.Upstreams, upstreamJSON{
 			ID:          fmt.Sprintf("ghost-%d", n),
 			Domain:      string(f.cfg.Setup.domainOf(n)),
-			Address:     f.addr(ghostGroup+n/hostsEach, 1+n%hostsEach, portUpstream).String(),
+			Address:     f.addr(firstAbsentSubnet+n/hostsPerSubnet, 1+n%hostsPerSubnet, portUpstream).String(),
 			Slots:       ikirereSlots,
 			Connections: connections,
-			ColdSlots:   coldShareOfSlots,
-			ColdFor:     f.cfg.Setup.ColdFor.String(),
+			ColdSlots:   coldSlots,
+			ColdFor:     f.cfg.Setup.ColdDuration.String(),
 		})
 	}
 	return out
 }
 
-func (f *Fleet) wireUpstream(svc Service, n, node int) wireUpstream {
+func (f *Fleet) upstreamEntry(svc Service, index, fakeIndex int) upstreamJSON {
 	s := f.cfg.Setup
-	addr, err := f.wire(RoleUpstream, upstreamName(svc, n), f.Nodes[node].Address())
+	addr, err := f.linkAddress(LinkUpstream, upstreamName(svc, index), f.Upstreams[fakeIndex].Address())
 	if err != nil {
-		addr = f.Nodes[node].Address()
+		addr = f.Upstreams[fakeIndex].Address()
 	}
-	return wireUpstream{
-		ID:              upstreamName(svc, n),
-		Domain:          string(s.domainOf(n)),
+	return upstreamJSON{
+		ID:              upstreamName(svc, index),
+		Domain:          string(s.domainOf(index)),
 		Address:         addr.String(),
-		Health:          f.Nodes[node].HealthAddress().String(),
+		Health:          f.Upstreams[fakeIndex].HealthAddress().String(),
 		Slots:           svc.Slots,
 		Connections:     svc.Connections,
-		ColdSlots:       coldShareOfSlots,
+		ColdSlots:       coldSlots,
 		ColdConnections: coldConnections,
-		ColdFor:         s.ColdFor.String(),
+		ColdFor:         s.ColdDuration.String(),
 	}
 }
--- a/internal/bench/replay/caller.go
+++ b/internal/bench/replay/caller.go
@@ -9,231 +9,233 @@
 
 // How callers behave, as the platform describes them.
 const (
-	firstCopy   = 200 * time.Millisecond
-	secondCopy  = 600 * time.Millisecond
-	openLimit   = 1400 * time.Millisecond
-	firstRepeat = 200 * time.Millisecond
-	repeatLimit = 1600 * time.Millisecond
-	triesLimit  = 3
-	// retryPause is a caller's pause before its next try.
-	retryPause  = 5 * time.Millisecond
+	firstSynRetransmit  = 200 * time.Millisecond
+	secondSynRetransmit = 600 * time.Millisecond
+	connectTimeout      = 1400 * time.Millisecond
+	initialRTO          = 200 * time.Millisecond
+	maxRTO              = 1600 * time.Millisecond
+	maxAttempts         = 3
+	// retryDelay is a caller's pause before its next try.
+	retryDelay  = 5 * time.Millisecond
 	requestSize = 400
-	// callersBegin is when callers begin; instances are ready before.
-	callersBegin = 500 * time.Millisecond
+	// loadStart is when callers begin; instances are ready before.
+	loadStart = 500 * time.Millisecond
 )
 
 // request is one request of a caller, over all its tries.
 type request struct {
-	w      *world
-	domain model.DomainID
-	asked  model.Instant
-	tries  int
-	// once is set for requests that run at most once.
-	once bool
+	sim       *simulation
+	domain    model.DomainID
+	startedAt model.Instant
+	attempts  int
+	// atMostOnce is set for requests that run at most once.
+	atMostOnce bool
 	// done is set when the request is answered or given up.
 	done bool
-	// after is called when it is, with the flow that may be used again.
-	after func(*try)
-	// runs counts how often an upstream worked on it.
-	runs int
+	// onDone is called when it is, with the flow that may be used again.
+	onDone func(*callerFlow)
+	// executions counts how often an upstream worked on it.
+	executions int
 }
 
-// try is one flow as its caller sees it.
-type try struct {
+// callerFlow is one flow as its caller sees it.
+type callerFlow struct {
 	*request
 	key model.FlowKey
-	// up is the upstream that the caller's handshake was with; nil before.
-	up  *upstream
-	tag model.RoutingTag
-	// taken is the upstream that has the present request.
-	taken *upstream
-	// heard is set once the upstream has confirmed the request's data.
-	heard    bool
-	over     bool
-	position uint32
-	received uint32
-	packet   model.Segment
+	// upstream is the upstream that the caller's handshake was with; nil before.
+	upstream *upstream
+	tag      model.RoutingTag
+	// acceptedBy is the upstream that has the present request.
+	acceptedBy *upstream
+	// acked is set once the upstream has confirmed the request's data.
+	acked         bool
+	closed        bool
+	seq           uint32
+	ackSeq        uint32
+	currentPacket model.Segment
 }
 
-// addUsers lets users of long flows and arrivals of bookings begin.
-func (w *world) addUsers(d model.DomainID) {
-	for range w.p.Users {
-		w.after(callersBegin+w.pause(w.p.Think), func() { w.stream(d, nil) })
+// startCallers lets users of long flows and arrivals of bookings begin.
+func (s *simulation) startCallers(d model.DomainID) {
+	for range s.pattern.Users {
+		s.after(loadStart+s.randomPause(s.pattern.ThinkTime), func() { s.requestOnLongFlow(d, nil) })
 	}
-	if w.p.Bookings > 0 {
-		w.after(callersBegin+w.pause(time.Second/time.Duration(w.p.Bookings)), func() { w.booking(d) })
+	if s.pattern.BookingRate > 0 {
+		s.after(loadStart+s.randomPause(time.Second/time.Duration(s.pattern.BookingRate)), func() { s.requestOnNewFlow(d) })
 	}
 }
 
-// stream asks once on a long flow, opening one if there is none, and again after a pause.
-func (w *world) stream(d model.DomainID, flow *try) {
-	if w.over() {
+// requestOnLongFlow asks once on a long flow, opening one if there is none, and again after a pause.
+func (s *simulation) requestOnLongFlow(d model.DomainID, flow *callerFlow) {
+	if s.loadEnded() {
 		return
 	}
-	r := &request{w: w, domain: d, asked: w.now}
-	r.after = func(next *try) { w.after(w.pause(w.p.Think), func() { w.stream(d, next) }) }
-	w.result.begin(r)
-	w.after(w.p.Deadline, r.deadline)
-	if flow == nil || flow.over {
-		r.open()
+	r := &request{sim: s, domain: d, startedAt: s.now}
+	r.onDone = func(next *callerFlow) {
+		s.after(s.randomPause(s.pattern.ThinkTime), func() { s.requestOnLongFlow(d, next) })
+	}
+	s.result.recordStart(r)
+	s.after(s.pattern.Deadline, r.handleDeadline)
+	if flow == nil || flow.closed {
+		r.openFlow()
 		return
 	}
-	flow.request, flow.taken, flow.heard = r, nil, false
-	r.tries++
-	flow.ask(firstRepeat)
+	flow.request, flow.acceptedBy, flow.acked = r, nil, false
+	r.attempts++
+	flow.sendRequest(initialRTO)
 }
 
-func (w *world) booking(d model.DomainID) {
-	if w.over() {
+func (s *simulation) requestOnNewFlow(d model.DomainID) {
+	if s.loadEnded() {
 		return
 	}
-	r := &request{w: w, domain: d, asked: w.now, once: true, after: func(*try) {}}
-	w.result.begin(r)
-	w.after(w.p.Deadline, r.deadline)
-	r.open()
-	w.after(w.pause(time.Second/time.Duration(w.p.Bookings)), func() { w.booking(d) })
+	r := &request{sim: s, domain: d, startedAt: s.now, atMostOnce: true, onDone: func(*callerFlow) {}}
+	s.result.recordStart(r)
+	s.after(s.pattern.Deadline, r.handleDeadline)
+	r.openFlow()
+	s.after(s.randomPause(time.Second/time.Duration(s.pattern.BookingRate)), func() { s.requestOnNewFlow(d) })
 }
 
-// open begins a try on a new flow.
-func (r *request) open() {
-	r.tries++
-	r.w.callers++
-	service := streamAddress
-	if r.once {
-		service = bookingAddress
+// openFlow begins a try on a new flow.
+func (r *request) openFlow() {
+	r.attempts++
+	r.sim.flowCount++
+	address := streamAddress
+	if r.atMostOnce {
+		address = bookingAddress
 	}
-	n := r.w.callers
+	n := r.sim.flowCount
 	caller := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(n >> 16), byte(n >> 8)}), uint16(1024+n&0xff))
-	t := &try{request: r, key: model.FlowKey{Caller: caller, Service: service}}
-	r.w.result.open[t.key] = t
-	t.syn(0)
-	r.w.after(firstCopy, func() { t.syn(1) })
-	r.w.after(secondCopy, func() { t.syn(2) })
-	r.w.after(openLimit, func() {
-		if t.up == nil && !t.over {
-			t.failed(true)
+	f := &callerFlow{request: r, key: model.FlowKey{Caller: caller, Service: address}}
+	r.sim.result.openFlows[f.key] = f
+	f.sendSyn(0)
+	r.sim.after(firstSynRetransmit, func() { f.sendSyn(1) })
+	r.sim.after(secondSynRetransmit, func() { f.sendSyn(2) })
+	r.sim.after(connectTimeout, func() {
+		if f.upstream == nil && !f.closed {
+			f.fail(true)
 		}
 	})
 }
 
-func (t *try) syn(count uint32) {
-	if t.up == nil && !t.over {
-		t.send(model.Segment{Flow: t.key, Syn: true, Retransmission: count})
+func (f *callerFlow) sendSyn(retransmission uint32) {
+	if f.upstream == nil && !f.closed {
+		f.send(model.Segment{Flow: f.key, Syn: true, Retransmission: retransmission})
 	}
 }
 
 // send sends a packet through the instance that routers choose now.
-func (t *try) send(seg model.Segment) {
+func (f *callerFlow) send(seg model.Segment) {
 	// The engine keeps an opening packet by its bytes, which the model does not look at.
 	seg.Raw = []byte{0}
-	if t.w.lost() {
+	if f.sim.dropPacket() {
 		return
 	}
-	t.w.after(toCaller, func() {
-		t.packet = seg
-		t.w.router(t).packet(seg, t)
+	f.sim.after(callerDelay, func() {
+		f.currentPacket = seg
+		f.sim.routeFlow(f).handlePacket(seg, f)
 	})
 }
 
-// opened takes an upstream's answer to the opening packet.
-func (t *try) opened(u *upstream, tag model.RoutingTag) {
-	if t.over {
+// handleSynAck takes an upstream's answer to the opening packet.
+func (f *callerFlow) handleSynAck(u *upstream, tag model.RoutingTag) {
+	if f.closed {
 		return
 	}
-	t.tag = tag
-	if t.up != nil {
+	f.tag = tag
+	if f.upstream != nil {
 		return
 	}
-	t.up = u
-	t.position, t.received = 1, 1
-	t.ask(firstRepeat)
+	f.upstream = u
+	f.seq, f.ackSeq = 1, 1
+	f.sendRequest(initialRTO)
 }
 
-// ask sends the request's data, and again until the upstream has confirmed it.
-func (t *try) ask(wait time.Duration) {
-	r := t.request
-	t.send(model.Segment{Flow: t.key, HasAck: true, Tag: t.tag, Seq: t.position, AckSeq: t.received, Size: requestSize})
-	t.w.after(wait, func() {
-		if !t.heard && !t.over && !r.done && t.request == r {
-			t.ask(min(2*wait, repeatLimit))
+// sendRequest sends the request's data, and again until the upstream has confirmed it.
+func (f *callerFlow) sendRequest(timeout time.Duration) {
+	r := f.request
+	f.send(model.Segment{Flow: f.key, HasAck: true, Tag: f.tag, Seq: f.seq, AckSeq: f.ackSeq, Size: requestSize})
+	f.sim.after(timeout, func() {
+		if !f.acked && !f.closed && !r.done && f.request == r {
+			f.sendRequest(min(2*timeout, maxRTO))
 		}
 	})
 }
 
-func (t *try) confirmed() {
-	t.heard = true
+func (f *callerFlow) handleAck() {
+	f.acked = true
 }
 
-// answered takes the upstream's answer.
-func (t *try) answered() {
-	if t.over || t.done {
+// handleResponse takes the upstream's answer.
+func (f *callerFlow) handleResponse() {
+	if f.closed || f.done {
 		return
 	}
-	t.position += requestSize
-	t.received += requestSize
-	t.send(model.Segment{Flow: t.key, HasAck: true, Fin: t.once, Tag: t.tag, Seq: t.position, AckSeq: t.received})
-	if t.once {
-		t.close()
+	f.seq += requestSize
+	f.ackSeq += requestSize
+	f.send(model.Segment{Flow: f.key, HasAck: true, Fin: f.atMostOnce, Tag: f.tag, Seq: f.seq, AckSeq: f.ackSeq})
+	if f.atMostOnce {
+		f.close()
 	}
-	t.finish(true, t)
+	f.finish(true, f)
 }
 
-// rejected takes the upstream's word that the request was not run.
-func (t *try) rejected() {
-	t.failed(true)
+// handleRejection takes the upstream's word that the request was not run.
+func (f *callerFlow) handleRejection() {
+	f.fail(true)
 }
 
-// wasReset takes a reset.
-func (t *try) wasReset() {
-	if !t.over {
-		t.failed(t.up == nil)
+// handleReset takes a reset.
+func (f *callerFlow) handleReset() {
+	if !f.closed {
+		f.fail(f.upstream == nil)
 	}
 }
 
-// failed ends the try; notRun tells that the request has not run for certain.
-func (t *try) failed(notRun bool) {
-	if t.over {
+// fail ends the try; notRun tells that the request has not run for certain.
+func (f *callerFlow) fail(notRun bool) {
+	if f.closed {
 		return
 	}
-	t.close()
-	r := t.request
+	f.close()
+	r := f.request
 	if r.done {
 		return
 	}
-	if r.tries >= triesLimit || (r.once && !notRun) {
+	if r.attempts >= maxAttempts || (r.atMostOnce && !notRun) {
 		r.finish(false, nil)
 		return
 	}
-	r.w.after(retryPause, func() {
+	r.sim.after(retryDelay, func() {
 		if !r.done {
-			r.open()
+			r.openFlow()
 		}
 	})
 }
 
-func (t *try) close() {
-	t.over = true
-	delete(t.w.result.open, t.key)
+func (f *callerFlow) close() {
+	f.closed = true
+	delete(f.sim.result.openFlows, f.key)
 }
 
-func (r *request) deadline() {
+func (r *request) handleDeadline() {
 	r.finish(false, nil)
 }
 
 // finish ends the request.
-func (r *request) finish(ok bool, flow *try) {
+func (r *request) finish(ok bool, flow *callerFlow) {
 	if r.done {
 		return
 	}
 	r.done = true
-	r.w.result.finished(r, ok, r.w.now.Sub(r.asked))
+	r.sim.result.recordOutcome(r, ok, r.sim.now.Sub(r.startedAt))
 	if !ok {
-		for key, t := range r.w.result.open {
-			if t.request == r {
-				t.over = true
-				delete(r.w.result.open, key)
+		for key, f := range r.sim.result.openFlows {
+			if f.request == r {
+				f.closed = true
+				delete(r.sim.result.openFlows, key)
 			}
 		}
 	}
-	r.after(flow)
+	r.onDone(flow)
 }
--- a/internal/bench/replay/pattern.go
+++ b/internal/bench/replay/pattern.go
@@ -20,8 +20,8 @@
 	Name string
 	// Note says what the pattern stands for.
 	Note string
-	// Length is how long callers ask.
-	Length time.Duration
+	// Duration is how long callers ask.
+	Duration time.Duration
 	// Domains holds the failure domains; callers, instances and upstreams are in them in equal parts.
 	Domains []string
 	// Instances, Upstreams and Users are numbers in each failure domain.
@@ -30,18 +30,18 @@
 	Users     int
 	// Slots is the number of requests that one upstream works on at once.
 	Slots int
-	// Queue is the number of requests that wait at one upstream; more are rejected as not run.
-	Queue int
-	// Speeds holds factors of working time that upstreams have in turn.
-	Speeds []string
-	// Think is the mean pause of a user between two requests on its long flow.
-	Think time.Duration
-	// Bookings is the number of requests a second, in each domain, that open a flow each and run at most once.
-	Bookings int
-	// Work is the mean working time of a request.
-	Work time.Duration
-	// Aim is the latency objective of a request, from its first try.
-	Aim time.Duration
+	// QueueLimit is the number of requests that wait at one upstream; more are rejected as not run.
+	QueueLimit int
+	// TimeFactors holds factors of working time that upstreams have in turn.
+	TimeFactors []string
+	// ThinkTime is the mean pause of a user between two requests on its long flow.
+	ThinkTime time.Duration
+	// BookingRate is the number of requests a second, in each domain, that open a flow each and run at most once.
+	BookingRate int
+	// RequestTime is the mean working time of a request.
+	RequestTime time.Duration
+	// LatencyTarget is the latency objective of a request, from its first try.
+	LatencyTarget time.Duration
 	// Deadline is when a caller gives a request up.
 	Deadline time.Duration
 	// Events is what happens, in any order.
@@ -52,9 +52,9 @@
 type Event struct {
 	// At is when it begins.
 	At time.Duration
-	// For is how long it lasts; zero for good.
-	For  time.Duration
-	Kind EventKind
+	// Duration is how long it lasts; zero for good.
+	Duration time.Duration
+	Kind     EventKind
 	// Domain is where; empty for everywhere.
 	Domain string
 	// Count is how many upstreams, where it concerns upstreams.
@@ -68,23 +68,23 @@
 
 // The kinds of events.
 const (
-	// EventDie silences upstreams for good; their entries vanish three heartbeats later.
-	EventDie EventKind = "die"
+	// EventCrash silences upstreams for good; their entries vanish three heartbeats later.
+	EventCrash EventKind = "die"
 	// EventSlow makes upstreams slower by Factor percent.
 	EventSlow EventKind = "slow"
-	// EventCut cuts a failure domain's instances and upstreams from the others.
-	EventCut EventKind = "cut"
-	// EventPower takes all instances down.
-	EventPower EventKind = "power"
+	// EventPartition cuts a failure domain's instances and upstreams from the others.
+	EventPartition EventKind = "cut"
+	// EventPowerLoss takes all instances down.
+	EventPowerLoss EventKind = "power"
 	// EventBurst multiplies the load by Factor percent.
 	EventBurst EventKind = "burst"
 	// EventReplace replaces upstreams one by one: a cold one begins, the old one drains and ends.
 	EventReplace EventKind = "replace"
-	// EventOut takes a failure domain out by the operators' word.
-	EventOut EventKind = "out"
+	// EventDomainOut takes a failure domain out by the operators' word.
+	EventDomainOut EventKind = "out"
 )
 
-var eventKinds = []EventKind{EventDie, EventSlow, EventCut, EventPower, EventBurst, EventReplace, EventOut}
+var eventKinds = []EventKind{EventCrash, EventSlow, EventPartition, EventPowerLoss, EventBurst, EventReplace, EventDomainOut}
 
 //go:embed testdata/*.json
 var patternFiles embed.FS
@@ -129,36 +129,36 @@
 }
 
 const (
-	maxCount = 10_000
-	maxTime  = time.Hour
+	maxCount    = 10_000
+	maxDuration = time.Hour
 )
 
 // ParsePattern reads a pattern; the error holds every fault with its line.
 func ParsePattern(name string, text []byte) (*Pattern, error) {
 	p := &Pattern{Name: name}
-	faults := reader.Read(text, reader.Schema{
+	errs := reader.Read(text, reader.Schema{
 		"note":      reader.Text(&p.Note),
-		"length":    reader.Duration(&p.Length, time.Second, maxTime),
-		"domains":   texts(&p.Domains),
+		"length":    reader.Duration(&p.Duration, time.Second, maxDuration),
+		"domains":   textList(&p.Domains),
 		"instances": reader.Number(&p.Instances, 1, maxCount),
 		"upstreams": reader.Number(&p.Upstreams, 1, maxCount),
 		"users":     reader.Number(&p.Users, 0, maxCount),
 		"slots":     reader.Number(&p.Slots, 1, maxCount),
-		"queue":     reader.Number(&p.Queue, 0, maxCount),
-		"speeds":    texts(&p.Speeds),
-		"think":     reader.Duration(&p.Think, time.Millisecond, maxTime),
-		"bookings":  reader.Number(&p.Bookings, 0, maxCount),
-		"work":      reader.Duration(&p.Work, time.Millisecond, maxTime),
-		"aim":       reader.Duration(&p.Aim, time.Millisecond, maxTime),
-		"deadline":  reader.Duration(&p.Deadline, time.Millisecond, maxTime),
+		"queue":     reader.Number(&p.QueueLimit, 0, maxCount),
+		"speeds":    textList(&p.TimeFactors),
+		"think":     reader.Duration(&p.ThinkTime, time.Millisecond, maxDuration),
+		"bookings":  reader.Number(&p.BookingRate, 0, maxCount),
+		"work":      reader.Duration(&p.RequestTime, time.Millisecond, maxDuration),
+		"aim":       reader.Duration(&p.LatencyTarget, time.Millisecond, maxDuration),
+		"deadline":  reader.Duration(&p.Deadline, time.Millisecond, maxDuration),
 		"events": func(f reader.Field) {
 			f.Array(func(f reader.Field) { p.Events = append(p.Events, readEvent(f)) })
 		},
 	})
-	return p, faults.Err()
+	return p, errs.Err()
 }
 
-func texts(dst *[]string) func(reader.Field) {
+func textList(dst *[]string) func(reader.Field) {
 	return func(f reader.Field) {
 		f.Array(func(f reader.Field) {
 			var text string
@@ -170,8 +170,8 @@
 
 func readEvent(f reader.Field) (e Event) {
 	f.Object(reader.Schema{
-		"at":     reader.Duration(&e.At, 0, maxTime),
-		"for":    reader.Duration(&e.For, 0, maxTime),
+		"at":     reader.Duration(&e.At, 0, maxDuration),
+		"for":    reader.Duration(&e.Duration, 0, maxDuration),
 		"kind":   reader.Text(&e.Kind),
 		"domain": reader.Text(&e.Domain),
 		"count":  reader.Number(&e.Count, 0, maxCount),
--- a/internal/bench/replay/replay_test.go
+++ b/internal/bench/replay/replay_test.go
@@ -8,8 +8,8 @@
 	"hawthorncourse/internal/bench/replay"
 )
 
-// TestRepeats checks that the same seed gives the same result.
-func TestRepeats(t *testing.T) {
+// TestDeterministic checks that the same seed gives the same result.
+func TestDeterministic(t *testing.T) {
 	is := is.New(t)
 	p, err := replay.Load("dead")
 	is.NoErr(err)
@@ -17,8 +17,8 @@
 	is.Equal(first.String(), second.String())
 }
 
-// TestBookings checks in every pattern that no decision lets a booking run twice, and that every request has an outcome.
-func TestBookings(t *testing.T) {
+// TestOutcomes checks in every pattern that no decision lets a booking run twice, and that every request has an outcome.
+func TestOutcomes(t *testing.T) {
 	list, err := replay.Patterns()
 	if err != nil {
 		t.Fatal(err)
@@ -28,16 +28,16 @@
 			t.Run(p.Name+"/"+v.Name, func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
-				r := replay.Run(replay.Config{Pattern: p, Seed: 9, Policy: v.Policy, Without: v.Without})
-				is.Equal(r.Twice, 0)
-				is.Equal(r.InAim+r.Late+r.Failed, r.Asked)
+				r := replay.Run(replay.Config{Pattern: p, Seed: 9, Policy: v.Policy, Disabled: v.Disabled})
+				is.Equal(r.DuplicateBookings, 0)
+				is.Equal(r.OnTime+r.Late+r.Failed, r.Requests)
 			})
 		}
 	}
 }
 
-// TestPatternFaults checks that a pattern that cannot be played is refused with its line.
-func TestPatternFaults(t *testing.T) {
+// TestInvalidPatterns checks that a pattern that cannot be played is refused with its line.
+func TestInvalidPatterns(t *testing.T) {
 	cases := map[string]string{
 		"no JSON":          `{`,
 		"unknown kind":     `{"events": [{"at": "1s", "kind": "flood"}]}`,
--- a/internal/bench/replay/result.go
+++ b/internal/bench/replay/result.go
@@ -8,90 +8,90 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// window is the length of the spans whose worst are reported, that of the users' bench.
-const window = 2 * time.Second
+// windowLength is the length of the spans whose worst are reported, that of the users' bench.
+const windowLength = 2 * time.Second
 
 // Result is what the callers of one replay saw.
 type Result struct {
 	// Asked, InAim, Late and Failed count requests.
-	Asked, InAim, Late, Failed int
-	// Twice counts runs beyond the first of requests that run at most once.
-	Twice int
-	// Spent counts runs beyond the first of any request.
-	Spent int
-	// Worst holds the shares in aim of the two worst windows.
-	Worst [2]float64
-	// Busiest is the load of the busiest upstream over the mean.
-	Busiest float64
+	Requests, OnTime, Late, Failed int
+	// DuplicateBookings counts runs beyond the first of requests that run at most once.
+	DuplicateBookings int
+	// ExtraExecutions counts runs beyond the first of any request.
+	ExtraExecutions int
+	// WorstWindows holds the shares in aim of the two worst windows.
+	WorstWindows [2]float64
+	// MaxLoadRatio is the load of the busiest upstream over the mean.
+	MaxLoadRatio float64
 
 	pattern *Pattern
-	// open holds the flows that callers wait on.
-	open    map[model.FlowKey]*try
-	windows []span
+	// openFlows holds the flows that callers wait on.
+	openFlows map[model.FlowKey]*callerFlow
+	windows   []windowCounts
 }
 
-// span counts the requests that were asked within one window.
-type span struct {
-	asked, inAim int
+// windowCounts counts the requests that were asked within one window.
+type windowCounts struct {
+	requests, onTime int
 }
 
 func newResult(p *Pattern) *Result {
-	return &Result{pattern: p, open: map[model.FlowKey]*try{}, windows: make([]span, p.Length/window+1)}
+	return &Result{pattern: p, openFlows: map[model.FlowKey]*callerFlow{}, windows: make([]windowCounts, p.Duration/windowLength+1)}
 }
 
-func (r *Result) begin(req *request) {
-	r.Asked++
-	r.windows[time.Duration(req.asked)/window].asked++
+func (r *Result) recordStart(req *request) {
+	r.Requests++
+	r.windows[time.Duration(req.startedAt)/windowLength].requests++
 }
 
-func (r *Result) worked(t *try) {
-	t.runs++
-	if t.runs > 1 {
-		r.Spent++
-		if t.once {
-			r.Twice++
+func (r *Result) recordExecution(f *callerFlow) {
+	f.executions++
+	if f.executions > 1 {
+		r.ExtraExecutions++
+		if f.atMostOnce {
+			r.DuplicateBookings++
 		}
 	}
 }
 
-func (r *Result) finished(req *request, ok bool, took time.Duration) {
+func (r *Result) recordOutcome(req *request, ok bool, latency time.Duration) {
 	switch {
 	case !ok:
 		r.Failed++
-	case took <= r.pattern.Aim:
-		r.InAim++
-		r.windows[time.Duration(req.asked)/window].inAim++
+	case latency <= r.pattern.LatencyTarget:
+		r.OnTime++
+		r.windows[time.Duration(req.startedAt)/windowLength].onTime++
 	default:
 		r.Late++
 	}
 }
 
-func (r *Result) finish(upstreams []*upstream) {
+func (r *Result) summarize(upstreams []*upstream) {
 	var shares []float64
-	for _, s := range r.windows {
-		if s.asked > 0 {
-			shares = append(shares, float64(s.inAim)/float64(s.asked))
+	for _, w := range r.windows {
+		if w.requests > 0 {
+			shares = append(shares, float64(w.onTime)/float64(w.requests))
 		}
 	}
 	slices.Sort(shares)
-	copy(r.Worst[:], shares)
-	sum, top := 0, 0
+	copy(r.WorstWindows[:], shares)
+	sum, highest := 0, 0
 	for _, u := range upstreams {
 		sum += u.arrivals
-		top = max(top, u.arrivals)
+		highest = max(highest, u.arrivals)
 	}
 	if sum > 0 {
-		r.Busiest = float64(top) * float64(len(upstreams)) / float64(sum)
+		r.MaxLoadRatio = float64(highest) * float64(len(upstreams)) / float64(sum)
 	}
 }
 
-// ShareInAim returns the share of requests that were served in aim.
-func (r *Result) ShareInAim() float64 {
-	return float64(r.InAim) / float64(max(r.Asked, 1))
+// OnTimeShare returns the share of requests that were served in aim.
+func (r *Result) OnTimeShare() float64 {
+	return float64(r.OnTime) / float64(max(r.Requests, 1))
 }
 
 // String returns the result as one line.
 func (r *Result) String() string {
 	return fmt.Sprintf("asked %6d  in aim %.4f  late %5d  failed %4d  worst windows %.3f %.3f  busiest/mean %.2f  run again %d (%d of bookings)",
-		r.Asked, r.ShareInAim(), r.Late, r.Failed, r.Worst[0], r.Worst[1], r.Busiest, r.Spent, r.Twice)
+		r.Requests, r.OnTimeShare(), r.Late, r.Failed, r.WorstWindows[0], r.WorstWindows[1], r.MaxLoadRatio, r.ExtraExecutions, r.DuplicateBookings)
 }
--- a/internal/bench/replay/upstream.go
+++ b/internal/bench/replay/upstream.go
@@ -9,99 +9,99 @@
 )
 
 const (
-	// lapse is how long the entry of a silent upstream stays: three heartbeats of 1.2 s.
-	lapse = 3600 * time.Millisecond
-	// drainFor is how long an upstream that leaves goes on.
-	drainFor = 3500 * time.Millisecond
-	// coldFor is how long a new upstream is cold, and coldFactor how slow it is meanwhile.
-	coldFor    = 2 * time.Second
-	coldFactor = 1.6
+	// heartbeatExpiry is how long the entry of a silent upstream stays: three heartbeats of 1.2 s.
+	heartbeatExpiry = 3600 * time.Millisecond
+	// drainTime is how long an upstream that leaves goes on.
+	drainTime = 3500 * time.Millisecond
+	// coldStartTime is how long a new upstream is cold, and coldFactor how slow it is meanwhile.
+	coldStartTime = 2 * time.Second
+	coldFactor    = 1.6
 )
 
 // upstream is one back end.
 type upstream struct {
-	w     *world
-	reg   model.Registration
-	speed float64
-	// busy is the number of requests in work; at most the pattern's slots.
-	busy    int
-	waiting []*try
+	sim        *simulation
+	reg        model.Registration
+	timeFactor float64
+	// running is the number of requests in work; at most the pattern's slots.
+	running int
+	queue   []*callerFlow
 	// flows holds the open flows by caller.
-	flows map[model.FlowKey]*try
-	// half holds flows whose caller has not confirmed yet.
-	half map[model.FlowKey]bool
+	flows map[model.FlowKey]*callerFlow
+	// halfOpen holds flows whose caller has not confirmed yet.
+	halfOpen map[model.FlowKey]bool
 	// arrivals counts the requests that it took.
-	arrivals int
-	dead     bool
-	draining bool
-	listed   bool
-	warmAt   model.Instant
+	arrivals   int
+	down       bool
+	draining   bool
+	registered bool
+	warmAt     model.Instant
 }
 
-func (w *world) addUpstream(d model.DomainID, cold time.Duration) {
-	n := model.EndpointNumber(len(w.upstreams) + 1)
-	speed, err := strconv.ParseFloat(w.p.Speeds[len(w.upstreams)%len(w.p.Speeds)], 64)
+func (s *simulation) addUpstream(d model.DomainID, coldFor time.Duration) {
+	n := model.EndpointNumber(len(s.upstreams) + 1)
+	timeFactor, err := strconv.ParseFloat(s.pattern.TimeFactors[len(s.upstreams)%len(s.pattern.TimeFactors)], 64)
 	if err != nil {
-		speed = 1
+		timeFactor = 1
 	}
-	w.revision++
+	s.revision++
 	u := &upstream{
-		w:      w,
-		speed:  speed,
-		flows:  map[model.FlowKey]*try{},
-		half:   map[model.FlowKey]bool{},
-		listed: true,
-		warmAt: w.now.Add(cold),
+		sim:        s,
+		timeFactor: timeFactor,
+		flows:      map[model.FlowKey]*callerFlow{},
+		halfOpen:   map[model.FlowKey]bool{},
+		registered: true,
+		warmAt:     s.now.Add(coldFor),
 		reg: model.Registration{
-			ID: upstreamID(n), Revision: w.revision, Number: n, Service: serviceID, Domain: d, Boot: 1, Slots: w.p.Slots,
-			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(n >> 8), byte(n)}), 8080), ColdFor: cold,
+			ID: upstreamID(n), Revision: s.revision, Number: n, Service: serviceID, Domain: d, Boot: 1, Slots: s.pattern.Slots,
+			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(n >> 8), byte(n)}), 8080), ColdFor: coldFor,
 		},
 	}
-	w.upstreams = append(w.upstreams, u)
-	w.numbers[n] = u
+	s.upstreams = append(s.upstreams, u)
+	s.upstreamsByNumber[n] = u
 }
 
-// die silences the upstream for good.
-func (u *upstream) die() {
-	u.dead = true
-	u.flows, u.half, u.waiting = nil, nil, nil
-	u.w.after(lapse, func() {
-		u.listed = false
-		u.w.changed()
+// crash silences the upstream for good.
+func (u *upstream) crash() {
+	u.down = true
+	u.flows, u.halfOpen, u.queue = nil, nil, nil
+	u.sim.after(heartbeatExpiry, func() {
+		u.registered = false
+		u.sim.registryChanged()
 	})
 }
 
 // replace begins a cold upstream in the place of this one, which drains and ends.
 func (u *upstream) replace() {
-	u.w.addUpstream(u.reg.Domain, coldFor)
+	u.sim.addUpstream(u.reg.Domain, coldStartTime)
 	u.draining = true
-	u.w.revision++
-	u.reg.Draining, u.reg.Revision = true, u.w.revision
-	u.w.changed()
-	u.w.after(drainFor, func() {
-		u.dead, u.listed = true, false
-		u.w.changed()
+	u.sim.revision++
+	u.reg.Draining, u.reg.Revision = true, u.sim.revision
+	u.sim.registryChanged()
+	u.sim.after(drainTime, func() {
+		u.down, u.registered = true, false
+		u.sim.registryChanged()
 	})
 }
 
-// hear takes a packet that an instance sent on.
-func (u *upstream) hear(seg model.Segment, t *try) {
-	if u.dead {
+// handlePacket takes a packet that an instance sent on.
+func (u *upstream) handlePacket(seg model.Segment, f *callerFlow) {
+	if u.down {
 		return
 	}
 	switch {
 	case seg.Syn:
-		u.half[seg.Flow] = true
-		u.tell(func() { t.opened(u, seg.Tag) })
+		u.halfOpen[seg.Flow] = true
+		u.reply(func() { f.handleSynAck(u, seg.Tag) })
 	case seg.Reset:
 		delete(u.flows, seg.Flow)
-	case u.flows[seg.Flow] == nil && !u.half[seg.Flow]:
-		u.tell(t.wasReset)
+	case u.flows[seg.Flow] == nil && !u.halfOpen[seg.Flow]:
+		u.reply(f.handleReset)
 	default:
-		delete(u.half, seg.Flow)
-		u.flows[seg.Flow] = t
+		delete(u.halfOpen, seg.Flow)
+		u.flows[seg.Flow] = f
 		if seg.Size > 0 {
-			u.take(t)
+			u.handleRequest(f)
 		}
 		if seg.Fin {
 			delete(u.flows, seg.Flow)
@@ -109,49 +109,49 @@
 	}
 }
 
-// take takes a request, or confirms one that it has.
-func (u *upstream) take(t *try) {
-	u.tell(t.confirmed)
-	if t.taken == u {
+// handleRequest takes a request, or confirms one that it has.
+func (u *upstream) handleRequest(f *callerFlow) {
+	u.reply(f.handleAck)
+	if f.acceptedBy == u {
 		return
 	}
-	t.taken = u
+	f.acceptedBy = u
 	u.arrivals++
 	switch {
-	case u.busy < u.w.p.Slots:
-		u.work(t)
-	case len(u.waiting) < u.w.p.Queue:
-		u.waiting = append(u.waiting, t)
+	case u.running < u.sim.pattern.Slots:
+		u.execute(f)
+	case len(u.queue) < u.sim.pattern.QueueLimit:
+		u.queue = append(u.queue, f)
 	default:
-		u.tell(t.rejected)
+		u.reply(f.handleRejection)
 	}
 }
 
-func (u *upstream) work(t *try) {
-	u.busy++
-	factor := u.speed
-	if u.w.now < u.warmAt {
+func (u *upstream) execute(f *callerFlow) {
+	u.running++
+	factor := u.timeFactor
+	if u.sim.now < u.warmAt {
 		factor *= coldFactor
 	}
-	d := time.Duration(float64(u.w.spread(u.w.p.Work)) * factor)
-	u.w.result.worked(t)
-	u.w.after(d, func() {
-		if u.dead {
+	duration := time.Duration(float64(u.sim.logNormal(u.sim.pattern.RequestTime)) * factor)
+	u.sim.result.recordExecution(f)
+	u.sim.after(duration, func() {
+		if u.down {
 			return
 		}
-		u.busy--
-		u.tell(t.answered)
-		if len(u.waiting) > 0 {
-			next := u.waiting[0]
-			u.waiting = u.waiting[1:]
-			u.work(next)
+		u.running--
+		u.reply(f.handleResponse)
+		if len(u.queue) > 0 {
+			next := u.queue[0]
+			u.queue = u.queue[1:]
+			u.execute(next)
 		}
 	})
 }
 
-// tell sends a packet to the caller that hears it, past all instances.
-func (u *upstream) tell(hear func()) {
-	if !u.w.lost() {
-		u.w.after(toCaller, hear)
+// reply sends a packet to the caller that hears it, past all instances.
+func (u *upstream) reply(deliver func()) {
+	if !u.sim.dropPacket() {
+		u.sim.after(callerDelay, deliver)
 	}
 }
--- a/internal/bench/replay/variant.go
+++ b/internal/bench/replay/variant.go
@@ -12,9 +12,9 @@
 
 // Variant is the product, or the product with one decision replaced by a simpler one.
 type Variant struct {
-	Name    string
-	Policy  choose.Policy[Candidate]
-	Without direct.Disabled
+	Name     string
+	Policy   choose.Policy[Candidate]
+	Disabled direct.Disabled
 }
 
 // Running is the number of requests under way, which simpler policies go by.
@@ -22,8 +22,8 @@
 	return float64(c.Load.Running)
 }
 
-// expected is the answer time that is to be expected, without a preference for the own failure domain.
-func expected(c Candidate) float64 {
+// expectedLatency is the answer time that is to be expected, without a preference for the own failure domain.
+func expectedLatency(c Candidate) float64 {
 	return float64(c.Load.AnswerTime()) * (1 + Running(c))
 }
 
@@ -31,14 +31,14 @@
 func Variants() []Variant {
 	return []Variant{
 		{Name: "product"},
-		{Name: "no resend", Without: direct.Disabled{Resend: true}},
-		{Name: "no probes", Without: direct.Disabled{Probes: true}},
-		{Name: "no resets", Without: direct.Disabled{Resets: true}},
-		{Name: "no word", Without: direct.Disabled{Suspicions: true}},
-		{Name: "always ready", Without: direct.Disabled{Isolation: true}},
+		{Name: "no resend", Disabled: direct.Disabled{Resend: true}},
+		{Name: "no probes", Disabled: direct.Disabled{Probes: true}},
+		{Name: "no resets", Disabled: direct.Disabled{Resets: true}},
+		{Name: "no word", Disabled: direct.Disabled{Suspicions: true}},
+		{Name: "always ready", Disabled: direct.Disabled{Isolation: true}},
 		{Name: "random", Policy: choose.Random[Candidate]{}},
 		{Name: "least running", Policy: choose.Least[Candidate]{Score: Running}},
 		{Name: "two choices", Policy: choose.TwoChoices[Candidate]{Score: Running}},
-		{Name: "any domain", Policy: choose.BestOf[Candidate]{N: 3, Score: expected}},
+		{Name: "any domain", Policy: choose.BestOf[Candidate]{N: 3, Score: expectedLatency}},
 	}
 }
--- a/internal/bench/replay/world.go
+++ b/internal/bench/replay/world.go
@@ -17,10 +17,10 @@
 
 // The times of the modelled network, those of today's smaller site.
 const (
-	toCaller  = 3 * time.Millisecond
-	inDomain  = 100 * time.Microsecond
-	across    = 900 * time.Microsecond
-	lossShare = 0.0002
+	callerDelay      = 3 * time.Millisecond
+	sameDomainDelay  = 100 * time.Microsecond
+	crossDomainDelay = 900 * time.Microsecond
+	lossRate         = 0.0002
 )
 
 // Config is what a replay is built from.
@@ -31,49 +31,49 @@
 	Seed uint64
 	// Policy picks upstreams; nil for the product's own policy.
 	Policy choose.Policy[place.Candidate[*roster.Upstream]]
-	// Without names decisions that are replaced by their simpler alternative.
-	Without direct.Disabled
+	// Disabled names decisions that are replaced by their simpler alternative.
+	Disabled direct.Disabled
 }
 
-// world is one replay.
-type world struct {
-	cfg     Config
-	p       *Pattern
-	rng     *rand.Rand
-	now     model.Instant
-	queue   eventQueue
-	order   uint64
-	domains map[model.DomainID][]*instance
+// simulation is one replay.
+type simulation struct {
+	cfg               Config
+	pattern           *Pattern
+	rng               *rand.Rand
+	now               model.Instant
+	queue             taskQueue
+	lastSeq           uint64
+	instancesByDomain map[model.DomainID][]*instance
 	// instances holds all, in order.
-	instances []*instance
-	upstreams []*upstream
-	numbers   map[model.EndpointNumber]*upstream
-	// cut holds the failure domains that are cut off.
-	cut map[model.DomainID]bool
-	// out holds the failure domains that operators have taken out.
-	out      []model.DomainID
-	revision model.Revision
-	load     float64
-	callers  uint32
-	result   *Result
+	instances         []*instance
+	upstreams         []*upstream
+	upstreamsByNumber map[model.EndpointNumber]*upstream
+	// partitioned holds the failure domains that are cut off.
+	partitioned map[model.DomainID]bool
+	// domainsOut holds the failure domains that operators have taken out.
+	domainsOut []model.DomainID
+	revision   model.Revision
+	loadFactor float64
+	flowCount  uint32
+	result     *Result
 }
 
-// event is one thing that is due.
-type event struct {
-	at    model.Instant
-	order uint64
-	do    func()
+// task is one thing that is due.
+type task struct {
+	at  model.Instant
+	seq uint64
+	run func()
 }
 
-type eventQueue []event
+type taskQueue []task
 
-func (q eventQueue) Len() int { return len(q) }
-func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].order < q[j].order)
+func (q taskQueue) Len() int { return len(q) }
+func (q taskQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].seq < q[j].seq)
 }
-func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *eventQueue) Pop() any {
+func (q taskQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *taskQueue) Push(x any)   { *q = append(*q, x.(task)) }
+func (q *taskQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
@@ -90,149 +90,149 @@
 
 // Run plays the pattern and returns what its callers saw.
 func Run(cfg Config) *Result {
-	w := &world{
-		cfg:     cfg,
-		p:       cfg.Pattern,
-		rng:     rand.New(rand.NewPCG(cfg.Seed, 1)),
-		domains: map[model.DomainID][]*instance{},
-		numbers: map[model.EndpointNumber]*upstream{},
-		cut:     map[model.DomainID]bool{},
-		load:    1,
-		result:  newResult(cfg.Pattern),
+	s := &simulation{
+		cfg:               cfg,
+		pattern:           cfg.Pattern,
+		rng:               rand.New(rand.NewPCG(cfg.Seed, 1)),
+		instancesByDomain: map[model.DomainID][]*instance{},
+		upstreamsByNumber: map[model.EndpointNumber]*upstream{},
+		partitioned:       map[model.DomainID]bool{},
+		loadFactor:        1,
+		result:            newResult(cfg.Pattern),
 	}
-	for _, name := range w.p.Domains {
+	for _, name := range s.pattern.Domains {
 		d := model.DomainID(name)
-		for range w.p.Upstreams {
-			w.addUpstream(d, 0)
+		for range s.pattern.Upstreams {
+			s.addUpstream(d, 0)
 		}
-		for n := range w.p.Instances {
-			in := newInstance(w, d, n)
-			w.instances = append(w.instances, in)
-			w.domains[d] = append(w.domains[d], in)
+		for n := range s.pattern.Instances {
+			in := newInstance(s, d, n)
+			s.instances = append(s.instances, in)
+			s.instancesByDomain[d] = append(s.instancesByDomain[d], in)
 		}
 	}
-	for _, name := range w.p.Domains {
-		w.addUsers(model.DomainID(name))
+	for _, name := range s.pattern.Domains {
+		s.startCallers(model.DomainID(name))
 	}
-	for _, e := range w.p.Events {
-		w.after(e.At, func() { w.begin(e) })
+	for _, e := range s.pattern.Events {
+		s.after(e.At, func() { s.apply(e) })
 	}
 	// Every request is answered or given up by its deadline.
-	end := model.Instant(w.p.Length + w.p.Deadline + time.Second)
-	for len(w.queue) > 0 {
-		e := heap.Pop(&w.queue).(event)
+	end := model.Instant(s.pattern.Duration + s.pattern.Deadline + time.Second)
+	for len(s.queue) > 0 {
+		e := heap.Pop(&s.queue).(task)
 		if e.at > end {
 			break
 		}
-		w.now = e.at
-		e.do()
+		s.now = e.at
+		e.run()
 	}
-	w.result.finish(w.upstreams)
-	return w.result
+	s.result.summarize(s.upstreams)
+	return s.result
 }
 
 // after lets something happen later.
-func (w *world) after(d time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.queue, event{at: w.now.Add(d), order: w.order, do: do})
+func (s *simulation) after(d time.Duration, run func()) {
+	s.lastSeq++
+	heap.Push(&s.queue, task{at: s.now.Add(d), seq: s.lastSeq, run: run})
 }
 
-// over reports whether callers ask no more.
-func (w *world) over() bool {
-	return time.Duration(w.now) >= w.p.Length
+// loadEnded reports whether callers ask no more.
+func (s *simulation) loadEnded() bool {
+	return time.Duration(s.now) >= s.pattern.Duration
 }
 
-// reaches reports whether two failure domains hear each other.
-func (w *world) reaches(a, b model.DomainID) bool {
-	return a == b || (!w.cut[a] && !w.cut[b])
+// connected reports whether two failure domains hear each other.
+func (s *simulation) connected(a, b model.DomainID) bool {
+	return a == b || (!s.partitioned[a] && !s.partitioned[b])
 }
 
-// delay returns the time between an instance and an upstream.
-func delay(a, b model.DomainID) time.Duration {
+// networkDelay returns the time between an instance and an upstream.
+func networkDelay(a, b model.DomainID) time.Duration {
 	if a == b {
-		return inDomain
+		return sameDomainDelay
 	}
-	return across
+	return crossDomainDelay
 }
 
-// lost reports whether one packet is lost.
-func (w *world) lost() bool {
-	return w.rng.Float64() < lossShare
+// dropPacket reports whether one packet is lost.
+func (s *simulation) dropPacket() bool {
+	return s.rng.Float64() < lossRate
 }
 
-// spread returns a time around the mean that is sometimes much longer: lognormal with a sigma of a half.
-func (w *world) spread(mean time.Duration) time.Duration {
+// logNormal returns a time around the mean that is sometimes much longer: lognormal with a sigma of a half.
+func (s *simulation) logNormal(mean time.Duration) time.Duration {
 	const sigma = 0.5
-	return time.Duration(float64(mean) * math.Exp(sigma*w.rng.NormFloat64()-sigma*sigma/2))
+	return time.Duration(float64(mean) * math.Exp(sigma*s.rng.NormFloat64()-sigma*sigma/2))
 }
 
-// pause returns a random pause with the mean.
-func (w *world) pause(mean time.Duration) time.Duration {
-	return time.Duration(float64(mean) * w.rng.ExpFloat64() / w.load)
+// randomPause returns a random pause with the mean.
+func (s *simulation) randomPause(mean time.Duration) time.Duration {
+	return time.Duration(float64(mean) * s.rng.ExpFloat64() / s.loadFactor)
 }
 
-// begin lets an event of the pattern take place.
-func (w *world) begin(e Event) {
+// apply lets an event of the pattern take place.
+func (s *simulation) apply(e Event) {
 	switch e.Kind {
-	case EventDie:
-		for _, u := range w.pick(e) {
-			u.die()
+	case EventCrash:
+		for _, u := range s.pickUpstreams(e) {
+			u.crash()
 		}
 	case EventSlow:
-		for _, u := range w.pick(e) {
-			speed := u.speed
-			u.speed *= float64(e.Factor) / 100
-			w.after(e.For, func() { u.speed = speed })
+		for _, u := range s.pickUpstreams(e) {
+			timeFactor := u.timeFactor
+			u.timeFactor *= float64(e.Factor) / 100
+			s.after(e.Duration, func() { u.timeFactor = timeFactor })
 		}
-	case EventCut:
-		w.cut[model.DomainID(e.Domain)] = true
-		w.after(e.For, func() { delete(w.cut, model.DomainID(e.Domain)) })
-	case EventPower:
-		for _, in := range w.instances {
+	case EventPartition:
+		s.partitioned[model.DomainID(e.Domain)] = true
+		s.after(e.Duration, func() { delete(s.partitioned, model.DomainID(e.Domain)) })
+	case EventPowerLoss:
+		for _, in := range s.instances {
 			in.stop()
-			w.after(e.For, in.start)
+			s.after(e.Duration, in.start)
 		}
 	case EventBurst:
-		w.load = float64(e.Factor) / 100
-		w.after(e.For, func() { w.load = 1 })
+		s.loadFactor = float64(e.Factor) / 100
+		s.after(e.Duration, func() { s.loadFactor = 1 })
 	case EventReplace:
-		for i, u := range w.pick(e) {
-			w.after(time.Duration(i)*replaceGap, u.replace)
+		for i, u := range s.pickUpstreams(e) {
+			s.after(time.Duration(i)*replaceInterval, u.replace)
 		}
-	case EventOut:
-		w.out = []model.DomainID{model.DomainID(e.Domain)}
-		w.changed()
-		w.after(e.For, func() { w.out = nil; w.changed() })
+	case EventDomainOut:
+		s.domainsOut = []model.DomainID{model.DomainID(e.Domain)}
+		s.registryChanged()
+		s.after(e.Duration, func() { s.domainsOut = nil; s.registryChanged() })
 	}
 }
 
-const replaceGap = time.Second
+const replaceInterval = time.Second
 
-// pick returns the upstreams that an event concerns.
-func (w *world) pick(e Event) []*upstream {
+// pickUpstreams returns the upstreams that an event concerns.
+func (s *simulation) pickUpstreams(e Event) []*upstream {
 	var pool []*upstream
-	for _, u := range w.upstreams {
-		if !u.dead && !u.draining && (e.Domain == "" || u.reg.Domain == model.DomainID(e.Domain)) {
+	for _, u := range s.upstreams {
+		if !u.down && !u.draining && (e.Domain == "" || u.reg.Domain == model.DomainID(e.Domain)) {
 			pool = append(pool, u)
 		}
 	}
-	w.rng.Shuffle(len(pool), func(i, j int) { pool[i], pool[j] = pool[j], pool[i] })
+	s.rng.Shuffle(len(pool), func(i, j int) { pool[i], pool[j] = pool[j], pool[i] })
 	return pool[:min(e.Count, len(pool))]
 }
 
-// changed tells every instance of the registry as it is now, each a little later; a cut-off domain hears nothing.
-func (w *world) changed() {
-	w.revision++
-	for _, in := range w.instances {
-		in.hear()
+// registryChanged tells every instance of the registry as it is now, each a little later; a cut-off domain hears nothing.
+func (s *simulation) registryChanged() {
+	s.revision++
+	for _, in := range s.instances {
+		in.scheduleSync()
 	}
 }
 
 // listing returns the registry as it is now.
-func (w *world) listing() model.Listing[model.Registration] {
-	list := model.Listing[model.Registration]{Revision: w.revision}
-	for _, u := range w.upstreams {
-		if u.listed {
+func (s *simulation) listing() model.Listing[model.Registration] {
+	list := model.Listing[model.Registration]{Revision: s.revision}
+	for _, u := range s.upstreams {
+		if u.registered {
 			list.Items = append(list.Items, u.reg)
 		}
 	}
--- a/internal/bench/report/page.go
+++ b/internal/bench/report/page.go
@@ -25,28 +25,28 @@
 }
 
 const (
-	barHeight = 24
-	barStart  = 140
-	barSpan   = 360
-	textGap   = 6
-	baseline  = 15
+	barHeight   = 24
+	barStart    = 140
+	maxBarWidth = 360
+	textGap     = 6
+	baseline    = 15
 )
 
 // bars returns the plot of one figure of each phase.
 func bars(phases []Phase, figure string) []Bar {
-	top := 1.0
+	highest := 1.0
 	value := func(p Phase) float64 {
 		if figure == "broken" {
-			return float64(p.Broken)
+			return float64(p.BrokenFlows)
 		}
 		return p.Imbalance
 	}
 	for _, p := range phases {
-		top = max(top, value(p))
+		highest = max(highest, value(p))
 	}
 	out := make([]Bar, 0, len(phases))
 	for n, p := range phases {
-		width := barSpan * value(p) / top
+		width := maxBarWidth * value(p) / highest
 		y := float64(n * barHeight)
 		out = append(out, Bar{Label: p.Name, Y: y, Width: width, Value: value(p), TextX: barStart + width + textGap, LabelY: y + baseline})
 	}
--- a/internal/bench/report/report.go
+++ b/internal/bench/report/report.go
@@ -42,16 +42,16 @@
 
 // Phase is what was measured while one event took effect.
 type Phase struct {
-	Name      string  `json:"name"`
-	Planned   bool    `json:"planned"`
-	Seconds   float64 `json:"seconds"`
-	Broken    int     `json:"brokenFlows"`
-	Imbalance float64 `json:"imbalance"`
-	Bookings  []Count `json:"bookings"`
+	Name        string  `json:"name"`
+	Planned     bool    `json:"planned"`
+	Seconds     float64 `json:"seconds"`
+	BrokenFlows int     `json:"brokenFlows"`
+	Imbalance   float64 `json:"imbalance"`
+	Bookings    []Count `json:"bookings"`
 }
 
-// Sort brings the counters in order.
-func (p *Phase) Sort() {
+// SortBookings brings the counters in order.
+func (p *Phase) SortBookings() {
 	sortCounts(p.Bookings)
 }
 
@@ -78,7 +78,7 @@
 	for _, r := range runs {
 		fmt.Fprintf(w, "\n%s, seed %d\n", r.Setup, r.Seed)
 		for _, p := range r.Phases {
-			fmt.Fprintf(w, "  %-16s broken flows %-4d imbalance %-5.2f bookings %v\n", p.Name, p.Broken, p.Imbalance, p.Bookings)
+			fmt.Fprintf(w, "  %-16s broken flows %-4d imbalance %-5.2f bookings %v\n", p.Name, p.BrokenFlows, p.Imbalance, p.Bookings)
 		}
 		for _, q := range r.Latency {
 			fmt.Fprintf(w, "  latency p%-5v %8.2f ms\n", q.Percent, float64(q.Micros)/1000)
--- a/internal/bench/report/report_test.go
+++ b/internal/bench/report/report_test.go
@@ -18,7 +18,7 @@
 	return []report.Run{{
 		Setup:    "regie",
 		Seed:     1,
-		Phases:   []report.Phase{{Name: "steady", Planned: true, Seconds: 10, Imbalance: 1.25}, {Name: "domain out", Broken: 3, Imbalance: 2}},
+		Phases:   []report.Phase{{Name: "steady", Planned: true, Seconds: 10, Imbalance: 1.25}, {Name: "domain out", BrokenFlows: 3, Imbalance: 2}},
 		Latency:  []report.Quantile{{Percent: 50, Micros: 18_000}},
 		Refused:  []report.Count{{Name: "not run: queue_full", Value: 2}},
 		Breaches: []string{"steady: a <stream> broke"},
--- a/internal/bench/tools/balance.go
+++ b/internal/bench/tools/balance.go
@@ -33,7 +33,7 @@
 	}
 }
 
-const balanceWarmUp = 8 * time.Second
+const balanceWarmUpTime = 8 * time.Second
 
 func (c *balanceCommand) setFlags(f *flag.FlagSet) {
 	f.StringVar(&c.policies, "policies", "utilisation,completion,random,roundRobin", "policies to compare")
@@ -54,21 +54,21 @@
 }
 
 func (c *balanceCommand) measure(ctx context.Context, f *fleet.Fleet, policy string) error {
-	if err := f.AwaitWarm(ctx, len(f.Nodes)); err != nil {
+	if err := f.AwaitUsableSlots(ctx, len(f.Upstreams)); err != nil {
 		return err
 	}
-	load, err := drive.Start(drive.Config{Fleet: f, Bookers: c.bookers, Readers: c.readers, Think: time.Millisecond, Refresh: time.Second, Seed: c.seed})
+	load, err := drive.Start(drive.Config{Fleet: f, Bookers: c.bookers, Readers: c.readers, ThinkTime: time.Millisecond, RefreshInterval: time.Second, Seed: c.seed})
 	if err != nil {
 		return err
 	}
 	defer load.Stop()
-	time.Sleep(balanceWarmUp)
+	time.Sleep(balanceWarmUpTime)
 	load.ResetLatency()
-	nodes := f.Nodes[:fleet.Regie().Services[0].Upstreams]
-	before, began := drive.Busy(nodes), time.Now()
+	upstreams := f.Upstreams[:fleet.Regie().Services[0].Upstreams]
+	busyBefore, started := drive.BusyTimes(upstreams), time.Now()
 	time.Sleep(time.Duration(c.seconds) * time.Second)
-	imbalance := drive.Imbalance(nodes, before)
-	done := load.Bookings(began)[caller.OutcomeDone]
+	imbalance := drive.Imbalance(upstreams, busyBefore)
+	done := load.Bookings(started)[caller.OutcomeDone]
 	load.Stop()
 	h := load.Latency()
 	fmt.Printf("%-12s imbalance %.2f, bookings %d, latency p50 %.1f ms, p99 %.1f ms, not done %v\n",
--- a/internal/bench/tools/demo.go
+++ b/internal/bench/tools/demo.go
@@ -56,8 +56,8 @@
 	"both":    {fleet.Regie(), fleet.Ikirere()},
 }
 
-// errPromise means that something that must always hold did not.
-var errPromise = eris.New("a promise broke")
+// errViolation means that something that must always hold did not.
+var errViolation = eris.New("a promise broke")
 
 func (c *demoCommand) run(ctx context.Context) error {
 	list := setups[c.setup]
@@ -78,7 +78,7 @@
 	}
 	for _, r := range runs {
 		if len(r.Breaches) > 0 {
-			return errPromise
+			return errViolation
 		}
 	}
 	return nil
@@ -89,7 +89,7 @@
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return run, err
 	}
-	binary, err := program(ctx, c.out)
+	binary, err := entryBinary(ctx, c.out)
 	if err != nil {
 		return run, err
 	}
--- a/internal/bench/tools/flows.go
+++ b/internal/bench/tools/flows.go
@@ -40,10 +40,10 @@
 }
 
 const (
-	flowWarmUp  = 12 * time.Second
-	flowTick    = 5 * time.Millisecond
-	flowPackets = 2
-	flowPort    = 1024
+	flowWarmUpTime   = 12 * time.Second
+	flowSendInterval = 5 * time.Millisecond
+	packetsPerFlow   = 2
+	firstFlowPort    = 1024
 )
 
 func (c *flowsCommand) run(ctx context.Context) error {
@@ -55,44 +55,44 @@
 
 // measure goes through the phases.
 func (c *flowsCommand) measure(ctx context.Context, f *fleet.Fleet, domain model.DomainID) error {
-	time.Sleep(flowWarmUp)
-	if err := c.phase(ctx, f, "at rest"); err != nil {
+	time.Sleep(flowWarmUpTime)
+	if err := c.measurePhase(ctx, f, "at rest"); err != nil {
 		return err
 	}
-	work, cancel := context.WithCancel(ctx)
+	sendCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go c.spray(work, f)
-	time.Sleep(flowWarmUp)
-	if err := c.phase(ctx, f, "new flows"); err != nil {
+	go c.sendNewFlows(sendCtx, f)
+	time.Sleep(flowWarmUpTime)
+	if err := c.measurePhase(ctx, f, "new flows"); err != nil {
 		return err
 	}
 	if _, err := f.AddInstance(domain); err != nil {
 		return err
 	}
-	return c.phase(ctx, f, "instance joins")
+	return c.measurePhase(ctx, f, "instance joins")
 }
 
-// phase prints what the first instances spend in one phase.
-func (c *flowsCommand) phase(ctx context.Context, f *fleet.Fleet, name string) error {
-	nodes := f.Instances[:f.Size()]
-	before, err := used(ctx, f, nodes)
+// measurePhase prints what the first instances spend in one phase.
+func (c *flowsCommand) measurePhase(ctx context.Context, f *fleet.Fleet, name string) error {
+	instances := f.Instances[:f.InstanceCount()]
+	before, err := readUsage(ctx, f, instances)
 	if err != nil {
 		return err
 	}
 	time.Sleep(time.Duration(c.seconds) * time.Second)
-	after, err := used(ctx, f, nodes)
+	after, err := readUsage(ctx, f, instances)
 	if err != nil {
 		return err
 	}
-	each := float64(c.seconds * len(nodes))
+	instanceSeconds := float64(c.seconds * len(instances))
 	fmt.Printf("%-15s control in %6.0f B/s, out %6.0f B/s, cpu %6.2f %%, RSS %.1f MB a node; packets forwarded %.0f/s in all\n",
-		name, float64(after.in-before.in)/each, float64(after.out-before.out)/each, 100*(after.cpu-before.cpu)/each,
-		float64(after.rss)/float64(len(nodes))/(1<<20), float64(after.forwards-before.forwards)/float64(c.seconds))
+		name, float64(after.bytesIn-before.bytesIn)/instanceSeconds, float64(after.bytesOut-before.bytesOut)/instanceSeconds, 100*(after.cpu-before.cpu)/instanceSeconds,
+		float64(after.rss)/float64(len(instances))/(1<<20), float64(after.forwards-before.forwards)/float64(c.seconds))
 	return nil
 }
 
-// spray sends the first packets of new flows to random instances as the fabric would, at an even rate.
-func (c *flowsCommand) spray(ctx context.Context, f *fleet.Fleet) {
+// sendNewFlows sends the first packets of new flows to random instances as the fabric would, at an even rate.
+func (c *flowsCommand) sendNewFlows(ctx context.Context, f *fleet.Fleet) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(f.CallerIP(), 0)))
 	if err != nil {
 		return
@@ -100,18 +100,18 @@
 	defer conn.Close()
 	rng := rand.New(rand.NewPCG(c.seed, 4))
 	service := f.Services["stock-feed"]
-	began, serial := time.Now(), 0
+	started, sent := time.Now(), 0
 	for ctx.Err() == nil {
-		due := int(time.Since(began).Seconds() * float64(c.rate*f.Size()))
-		for ; serial < due; serial++ {
-			raw, err := frame.Format(frame.Frame{Source: f.Address(90, 1+serial>>16, flowPort+serial&0x7fff), Dest: service, Payload: []byte("tick")})
+		due := int(time.Since(started).Seconds() * float64(c.rate*f.InstanceCount()))
+		for ; sent < due; sent++ {
+			raw, err := frame.Format(frame.Frame{Source: f.Address(90, 1+sent>>16, firstFlowPort+sent&0x7fff), Dest: service, Payload: []byte("tick")})
 			if err != nil {
 				return
 			}
-			for range flowPackets {
-				_, _ = conn.WriteToUDPAddrPort(raw, f.Instances[rng.IntN(f.Size())].Front)
+			for range packetsPerFlow {
+				_, _ = conn.WriteToUDPAddrPort(raw, f.Instances[rng.IntN(f.InstanceCount())].Front)
 			}
 		}
-		time.Sleep(flowTick)
+		time.Sleep(flowSendInterval)
 	}
 }
--- a/internal/bench/tools/path.go
+++ b/internal/bench/tools/path.go
@@ -44,7 +44,7 @@
 func (c *pathCommand) run(ctx context.Context) error {
 	setup := fleet.Regie()
 	setup.Services = []fleet.Service{{ID: "ruche-service", Kind: "coap", Upstreams: 14, Slots: pathSlots, Connections: pathSlots}}
-	setup.ServiceTime = 0
+	setup.RequestTime = 0
 	return withFleet(ctx, fleet.Config{Setup: setup, Seed: c.seed, LogLevel: "warning"}, c.compare)
 }
 
@@ -54,36 +54,36 @@
 	for _, in := range f.Instances {
 		through = append(through, in.Front)
 	}
-	for _, n := range f.Nodes {
+	for _, n := range f.Upstreams {
 		direct = append(direct, n.Address())
 	}
 	if _, err := c.measure(f, through); err != nil {
 		return err
 	}
 	for range c.rounds {
-		a, err := c.measure(f, through)
+		throughResult, err := c.measure(f, through)
 		if err != nil {
 			return err
 		}
-		b, err := c.measure(f, direct)
+		directResult, err := c.measure(f, direct)
 		if err != nil {
 			return err
 		}
 		fmt.Printf("through %6.0f/s p50 %4d us p99 %5d us   direct %6.0f/s p50 %4d us p99 %5d us   ratios p50 %.2f p99 %.2f\n",
-			a.rate, a.p50, a.p99, b.rate, b.p50, b.p99, float64(a.p50)/float64(b.p50), float64(a.p99)/float64(b.p99))
+			throughResult.rate, throughResult.p50, throughResult.p99, directResult.rate, directResult.p50, directResult.p99, float64(throughResult.p50)/float64(directResult.p50), float64(throughResult.p99)/float64(directResult.p99))
 	}
 	return nil
 }
 
-// pathFigures is what one way showed.
-type pathFigures struct {
+// pathResult is what one way showed.
+type pathResult struct {
 	rate     float64
 	p50, p99 int64
 }
 
-func (c *pathCommand) measure(f *fleet.Fleet, targets []netip.AddrPort) (r pathFigures, err error) {
+func (c *pathCommand) measure(f *fleet.Fleet, targets []netip.AddrPort) (r pathResult, err error) {
 	f.Fabric.SetInstances(targets)
-	load, err := drive.Start(drive.Config{Fleet: f, Readers: c.readers, Refresh: time.Second, Seed: c.seed})
+	load, err := drive.Start(drive.Config{Fleet: f, Readers: c.readers, RefreshInterval: time.Second, Seed: c.seed})
 	if err != nil {
 		return r, err
 	}
--- a/internal/bench/tools/replay.go
+++ b/internal/bench/tools/replay.go
@@ -43,29 +43,29 @@
 	if c.seeds < 1 {
 		return eris.New("-seeds must be at least 1")
 	}
-	patterns, err := c.load()
+	patterns, err := c.loadPatterns()
 	if err != nil {
 		return err
 	}
-	played := 0
+	runs := 0
 	for _, p := range patterns {
 		for _, v := range replay.Variants() {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			if listed(c.patterns, p.Name) && listed(c.variants, v.Name) {
-				c.play(p, v)
-				played++
+			if inList(c.patterns, p.Name) && inList(c.variants, v.Name) {
+				c.runVariant(p, v)
+				runs++
 			}
 		}
 	}
-	if played == 0 {
+	if runs == 0 {
 		return eris.New("no pattern and variant of these names")
 	}
 	return nil
 }
 
-func (c *replayCommand) load() ([]*replay.Pattern, error) {
+func (c *replayCommand) loadPatterns() ([]*replay.Pattern, error) {
 	if c.file == "" {
 		return replay.Patterns()
 	}
@@ -77,15 +77,15 @@
 	return []*replay.Pattern{p}, err
 }
 
-func (c *replayCommand) play(p *replay.Pattern, v replay.Variant) {
+func (c *replayCommand) runVariant(p *replay.Pattern, v replay.Variant) {
 	for seed := 1; seed <= c.seeds; seed++ {
-		r := replay.Run(replay.Config{Pattern: p, Seed: uint64(seed), Policy: v.Policy, Without: v.Without})
+		r := replay.Run(replay.Config{Pattern: p, Seed: uint64(seed), Policy: v.Policy, Disabled: v.Disabled})
 		fmt.Printf("%-8s %-14s seed %d  %s\n", p.Name, v.Name, seed, r)
 	}
 }
 
-// listed reports whether a list of names, or an empty one, holds the name.
-func listed(list, name string) bool {
+// inList reports whether a list of names, or an empty one, holds the name.
+func inList(list, name string) bool {
 	if list == "" {
 		return true
 	}
--- a/internal/bench/tools/tools.go
+++ b/internal/bench/tools/tools.go
@@ -60,7 +60,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	if cfg.Binary, err = program(ctx, dir); err != nil {
+	if cfg.Binary, err = entryBinary(ctx, dir); err != nil {
 		return err
 	}
 	cfg.Dir = dir
@@ -69,7 +69,7 @@
 		return err
 	}
 	defer f.Close()
-	startCtx, cancel := context.WithTimeout(ctx, startTime)
+	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := f.AwaitVersion(startCtx, 1); err != nil {
 		return err
@@ -77,10 +77,10 @@
 	return run(f)
 }
 
-const startTime = 2 * time.Minute
+const startTimeout = 2 * time.Minute
 
-// program returns the path of the program of the entry processes: the one beside this program, or one built into dir.
-func program(ctx context.Context, dir string) (path string, err error) {
+// entryBinary returns the path of the program of the entry processes: the one beside this program, or one built into dir.
+func entryBinary(ctx context.Context, dir string) (path string, err error) {
 	defer func() {
 		if err != nil {
 			err = eris.Wrap(err, "find the program of the entry processes")
--- a/internal/core/direct/replay_test.go
+++ b/internal/core/direct/replay_test.go
@@ -50,7 +50,7 @@
 				t.Fatal(err)
 			}
 			late, failed := sumLosses(replay.Config{Pattern: pattern})
-			lateWithout, failedWithout := sumLosses(replay.Config{Pattern: pattern, Without: tc.without, Policy: tc.policy})
+			lateWithout, failedWithout := sumLosses(replay.Config{Pattern: pattern, Disabled: tc.without, Policy: tc.policy})
 			lost, lostWithout := late+failed, lateWithout+failedWithout
 			if tc.failures {
 				lost, lostWithout = failed, failedWithout
@@ -72,13 +72,13 @@
 	}
 	result := replay.Run(replay.Config{Pattern: pattern, Seed: 1})
 	const outage, settle, missedShare = 1.05, 0.3, 0.02
-	if want := (2 - outage - settle) / 2 * (1 - missedShare); result.Worst[0] < want {
-		t.Errorf("%.3f of the requests in the worst window met their target, want at least %.3f", result.Worst[0], want)
+	if want := (2 - outage - settle) / 2 * (1 - missedShare); result.WorstWindows[0] < want {
+		t.Errorf("%.3f of the requests in the worst window met their target, want at least %.3f", result.WorstWindows[0], want)
 	}
-	if result.Worst[1] < 1-missedShare {
-		t.Errorf("%.3f of the requests in the second worst window met their target", result.Worst[1])
+	if result.WorstWindows[1] < 1-missedShare {
+		t.Errorf("%.3f of the requests in the second worst window met their target", result.WorstWindows[1])
 	}
-	if result.Twice > 0 {
-		t.Errorf("%d bookings ran more than once", result.Twice)
+	if result.DuplicateBookings > 0 {
+		t.Errorf("%d bookings ran more than once", result.DuplicateBookings)
 	}
 }
--- a/internal/proof/whole/document_test.go
+++ b/internal/proof/whole/document_test.go
@@ -146,7 +146,7 @@
 // a submission is lost, when the stored object is unreadable, and when the platform is unavailable.
 func TestOperators(t *testing.T) {
 	s := newSystem(t, fleet.Regie())
-	client := object.NewClient(s.Platform(), netip.Addr{})
+	client := object.NewClient(s.PlatformURL(), netip.Addr{})
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 
--- a/internal/proof/whole/fault_test.go
+++ b/internal/proof/whole/fault_test.go
@@ -39,31 +39,31 @@
 			time.Sleep(8 * time.Second)
 		},
 		"upstream restarted while an instance is killed": func(s *system) {
-			s.Node("ruche-service-2").Kill()
+			s.Upstream("ruche-service-2").Kill()
 			s.Kill(s.Instances[1])
 			time.Sleep(2 * time.Second)
-			s.Node("ruche-service-2").Restart()
+			s.Upstream("ruche-service-2").Restart()
 			time.Sleep(8 * time.Second)
 		},
 		"upstream restarted while an instance joins": func(s *system) {
-			s.Node("inspection-depot-2").Kill()
+			s.Upstream("inspection-depot-2").Kill()
 			time.Sleep(time.Second)
 			if _, err := s.AddInstance("jambes"); err != nil {
 				s.t.Fatal(err)
 			}
 			time.Sleep(time.Second)
-			s.Node("inspection-depot-2").Restart()
+			s.Upstream("inspection-depot-2").Restart()
 			time.Sleep(8 * time.Second)
 		},
 		"upstream sheds everything": func(s *system) {
-			s.Node("ruche-service-4").SetShedding(true)
+			s.Upstream("ruche-service-4").SetShedding(true)
 			time.Sleep(5 * time.Second)
-			s.Node("ruche-service-4").SetShedding(false)
+			s.Upstream("ruche-service-4").SetShedding(false)
 			time.Sleep(2 * time.Second)
 		},
 		"load reports are false": func(s *system) {
-			s.Node("ruche-service-1").OverrideHealth(&upnode.HealthReport{State: "warm", Connections: 0})
-			s.Node("ruche-service-5").OverrideHealth(&upnode.HealthReport{State: "warm", Connections: 1 << 20})
+			s.Upstream("ruche-service-1").OverrideHealth(&upnode.HealthReport{State: "warm", Connections: 0})
+			s.Upstream("ruche-service-5").OverrideHealth(&upnode.HealthReport{State: "warm", Connections: 1 << 20})
 			s.restart("ruche-service-1", 2*time.Second)
 			time.Sleep(8 * time.Second)
 		},
--- a/internal/proof/whole/faultnet_test.go
+++ b/internal/proof/whole/faultnet_test.go
@@ -148,17 +148,17 @@
 }
 
 // wire implements fleet.Wiring: it starts a proxy in front of the target and returns the proxy's address.
-func (n *faultNetwork) wire(role fleet.Role, server string, target netip.AddrPort) (netip.AddrPort, error) {
+func (n *faultNetwork) wire(role fleet.LinkKind, server string, target netip.AddrPort) (netip.AddrPort, error) {
 	n.mu.Lock()
 	n.proxyCount++
 	host := n.proxyCount
 	n.mu.Unlock()
 	ip := target.Addr().As4()
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, ip[1], proxyGroup, byte(proxyHostBase + host)}), proxyPort)
-	if role == fleet.RoleControl || role == fleet.RolePlatform {
+	if role == fleet.LinkControl || role == fleet.LinkPlatform {
 		return addr, n.proxyTCP(addr, server, target)
 	}
-	return addr, n.proxyUDP(addr, server, target, role == fleet.RoleUpstream)
+	return addr, n.proxyUDP(addr, server, target, role == fleet.LinkUpstream)
 }
 
 func (n *faultNetwork) proxyTCP(addr netip.AddrPort, server string, target netip.AddrPort) error {
--- a/internal/proof/whole/harness_test.go
+++ b/internal/proof/whole/harness_test.go
@@ -52,7 +52,7 @@
 	t.Helper()
 	dir := t.TempDir()
 	n := newFaultNetwork(t)
-	f, err := fleet.Start(context.Background(), fleet.Config{Setup: setup, Binary: binary, Dir: dir, Wiring: n.wire, Seed: seed})
+	f, err := fleet.Start(context.Background(), fleet.Config{Setup: setup, Binary: binary, Dir: dir, Interposer: n.wire, Seed: seed})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 	for _, svc := range setup.Services {
 		want += svc.Upstreams
 	}
-	if err := s.AwaitWarm(ctx, want); err != nil {
+	if err := s.AwaitUsableSlots(ctx, want); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -129,15 +129,15 @@
 
 // restart kills the upstream and starts it cold after the downtime.
 func (s *system) restart(name string, downtime time.Duration) {
-	s.Node(name).Kill()
+	s.Upstream(name).Kill()
 	time.Sleep(downtime)
-	s.Node(name).Restart()
+	s.Upstream(name).Restart()
 }
 
 // stats returns what every upstream has recorded, by upstream name.
 func (s *system) stats() map[string]upnode.Stats {
 	out := map[string]upnode.Stats{}
-	for _, n := range s.Nodes {
+	for _, n := range s.Upstreams {
 		out[n.Name()] = n.Stats()
 	}
 	return out
--- a/internal/proof/whole/invariants_test.go
+++ b/internal/proof/whole/invariants_test.go
@@ -21,13 +21,13 @@
 func (s *system) startLoad() {
 	s.t.Helper()
 	l, err := drive.Start(drive.Config{
-		Fleet:   s.Fleet,
-		Streams: 30,
-		Bookers: 8,
-		Readers: 6,
-		Think:   20 * time.Millisecond,
-		Refresh: 2 * time.Second,
-		Seed:    seed,
+		Fleet:           s.Fleet,
+		Streams:         30,
+		Bookers:         8,
+		Readers:         6,
+		ThinkTime:       20 * time.Millisecond,
+		RefreshInterval: 2 * time.Second,
+		Seed:            seed,
 	})
 	if err != nil {
 		s.t.Fatal(err)
@@ -48,7 +48,7 @@
 	s.load.Stop()
 	s.logCounters()
 	time.Sleep(lateResponseTime)
-	for _, b := range s.load.Verify(drive.Limits{ColdSlots: coldSlots, ColdConnections: coldConnections}) {
+	for _, b := range s.load.Verify(drive.ColdLimits{ColdSlots: coldSlots, ColdConnections: coldConnections}) {
 		s.t.Error(b)
 	}
 	s.t.Logf("bookings by outcome %v, reads by outcome %v, refused or lost %v", s.load.Bookings(time.Time{}), s.load.Reads(), s.load.Refused())
@@ -92,9 +92,9 @@
 // checkNoStreamBrokenOutside checks that only streams whose first upstream is in the failure domain broke.
 func (s *system) checkNoStreamBrokenOutside(domain model.DomainID) {
 	s.t.Helper()
-	for _, r := range s.load.Broken() {
-		if s.UpstreamDomains()[r.First] != domain {
-			s.t.Errorf("stream of upstream %s broke: %+v", r.First, r.StreamReport)
+	for _, r := range s.load.BrokenStreams() {
+		if s.UpstreamDomains()[r.FirstUpstream] != domain {
+			s.t.Errorf("stream of upstream %s broke: %+v", r.FirstUpstream, r.StreamReport)
 		}
 	}
 }
--- a/internal/proof/whole/planned_test.go
+++ b/internal/proof/whole/planned_test.go
@@ -26,7 +26,7 @@
 		},
 		"upstream announces draining": func(s *system) {
 			const id = "ruche-service-6"
-			s.Node(id).SetDraining(true)
+			s.Upstream(id).SetDraining(true)
 			s.checkNoNewWork(id)
 		},
 		"instance stops": func(s *system) {
@@ -77,14 +77,14 @@
 	s.t.Helper()
 	start := time.Now()
 	time.Sleep(shortLimit + 4*time.Second)
-	if last := s.Node(id).Stats().LastArrival; last.After(start.Add(shortLimit)) {
+	if last := s.Upstream(id).Stats().LastArrival; last.After(start.Add(shortLimit)) {
 		s.t.Errorf("leaving upstream received new work %s after the change", last.Sub(start))
 	}
 }
 
 // withDuplicates returns the setup with a fabric that duplicates a fifth of the callers' packets.
 func withDuplicates(setup fleet.Setup) fleet.Setup {
-	setup.Duplicate = 0.2
+	setup.DuplicateRate = 0.2
 	return setup
 }
 
