--- a/internal/bench/build/build.go
+++ b/internal/bench/build/build.go
@@ -1,4 +1,4 @@
-// Package build makes the program of the instances for experiments and proofs.
+// Package build compiles the hawthorncourse program for experiments and end-to-end tests.
 package build
 
 import (
@@ -9,14 +9,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// Program builds the program into the folder and returns its path.
+// Program compiles the hawthorncourse program into dir and returns its absolute path.
 func Program(ctx context.Context, dir string) (path string, err error) {
 	if path, err = filepath.Abs(filepath.Join(dir, "hawthorncourse")); err != nil {
 		return "", err
 	}
 	out, err := exec.CommandContext(ctx, "go", "build", "-o", path, "hawthorncourse/cmd/hawthorncourse").CombinedOutput()
 	if err != nil {
-		return "", eris.Wrapf(err, "build the program: %s", out)
+		return "", eris.Wrapf(err, "build hawthorncourse: %s", out)
 	}
 	return path, nil
 }
--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -1,4 +1,4 @@
-// Package demo runs a set-up through a day's events in a minute and judges what happened.
+// Package demo runs a fleet under load through the operations and faults of a typical day, within about a minute, and verifies the results.
 package demo
 
 import (
@@ -19,50 +19,53 @@
 	thinkTime       = 15 * time.Millisecond
 	refreshInterval = 2 * time.Second
 	startTimeout    = 60 * time.Second
-	settleTime      = 1500 * time.Millisecond
-	// effectTime is how long an event is left to take effect.
+	// settleTime is the pause between stopping the load and verifying the results, in which upstreams finish their requests.
+	settleTime = 1500 * time.Millisecond
+	// effectTime is the time for which the effects of an event are measured; most events take twice as long.
 	effectTime = 5 * time.Second
 
+	// coldSlots and coldConnections are the cold-start limits of the upstreams of a fleet.
 	coldSlots       = 1
 	coldConnections = 50
 )
 
-// Config is what a demo is run with.
+// Config holds the parameters of a demo.
 type Config struct {
 	Setup fleet.Setup
-	// Binary is the program of the entry processes.
+	// Binary is the path of the program that the entry processes run.
 	Binary string
-	// Dir holds settings and logs.
+	// Dir is the folder for the settings and logs of the instances.
 	Dir string
-	// Streams, Bookers and Readers are the callers of each service.
+	// Streams, Bookers and Readers are the numbers of callers of each service; see drive.Config.
 	Streams, Bookers, Readers int
 	Seed                      uint64
-	// Out takes a line for each event.
+	// Out receives a line of results after each event.
 	Out io.Writer
 }
 
-// event is one thing that happens to the set-up.
+// event is an operation or a fault, with the time for which its effects are measured.
 type event struct {
 	name string
-	// planned events must break no stream outside the domain that they take out.
+	// planned events must not interrupt streams.
 	planned bool
-	domain  model.DomainID
-	apply   func(ctx context.Context) error
-	wait    time.Duration
+	// domain is the failure domain whose streams are exempt, because this or an earlier event has taken it out; empty for none.
+	domain model.DomainID
+	apply  func(ctx context.Context) error
+	wait   time.Duration
 }
 
-// demo is one run.
+// demo is the state of a run.
 type demo struct {
 	cfg   Config
 	fleet *fleet.Fleet
 	load  *drive.Load
 	run   report.Run
-	// drainedUpstream and out are the upstream and the domain that operators have taken out; empty for none.
+	// drainedUpstream and domainOut are the upstream and the failure domain that operators have taken out; empty for none.
 	drainedUpstream string
 	domainOut       model.DomainID
 }
 
-// Run brings about the events and returns what was measured.
+// Run starts a fleet with load, applies the events in sequence and returns the measurements and violations.
 func Run(ctx context.Context, cfg Config) (run report.Run, err error) {
 	f, err := fleet.Start(ctx, fleet.Config{Setup: cfg.Setup, Binary: cfg.Binary, Dir: cfg.Dir, Seed: cfg.Seed})
 	if err != nil {
@@ -83,6 +86,7 @@
 	return d.run, nil
 }
 
+// start waits until the instances are usable and starts the load.
 func (d *demo) start(ctx context.Context) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -107,6 +111,7 @@
 	return d.load.AwaitStreams(ctx)
 }
 
+// events returns the events in order.
 func (d *demo) events() []event {
 	f, setup := d.fleet, d.cfg.Setup
 	leaving := model.UpstreamID(string(setup.Services[0].ID) + "-3")
@@ -139,6 +144,7 @@
 
 func noAction(context.Context) error { return nil }
 
+// documentEdit returns an action that submits an edit of the document.
 func (d *demo) documentEdit(edit func(change.StoredDocument) ([]byte, error)) func(context.Context) error {
 	return func(ctx context.Context) error {
 		_, err := d.fleet.Edit(ctx, edit)
@@ -146,7 +152,7 @@
 	}
 }
 
-// runEvent brings one event about and measures until it has taken effect.
+// runEvent applies an event, measures its effects for its wait time and records them as a phase.
 func (d *demo) runEvent(ctx context.Context, ev event) error {
 	brokenBefore := len(d.load.BrokenStreams())
 	busyBefore := drive.BusyTimes(d.fleet.Upstreams)
@@ -176,7 +182,7 @@
 	return nil
 }
 
-// checkPhase records streams that broke though nothing allows it.
+// checkPhase records a violation for each stream that has been interrupted so far, unless the event is unplanned or exempts the stream's domain.
 func (d *demo) checkPhase(ev event) {
 	if !ev.planned {
 		return
@@ -184,12 +190,12 @@
 	for _, s := range d.load.BrokenStreams() {
 		domain := d.fleet.UpstreamDomains()[s.FirstUpstream]
 		if ev.domain == "" || domain != ev.domain {
-			d.run.Breaches = append(d.run.Breaches, fmt.Sprintf("%s: stream at %s broke: %+v", ev.name, s.FirstUpstream, s.StreamReport))
+			d.run.Breaches = append(d.run.Breaches, fmt.Sprintf("%s: stream at %s was interrupted: %+v", ev.name, s.FirstUpstream, s.StreamReport))
 		}
 	}
 }
 
-// verify ends the load and checks what must hold.
+// verify stops the load, checks the invariants and completes the report.
 func (d *demo) verify(ctx context.Context) {
 	d.load.Stop()
 	time.Sleep(settleTime)
@@ -204,6 +210,7 @@
 	d.run.Counters = d.counters(ctx)
 }
 
+// counters returns the sums of the counters of all reachable instances.
 func (d *demo) counters(ctx context.Context) []report.Count {
 	sums := map[string]int{}
 	for _, in := range d.fleet.Instances {
@@ -218,12 +225,12 @@
 	return report.Counts(sums)
 }
 
-// takenOut reports whether operators want no work at the upstream now.
+// takenOut reports whether operators have taken out the upstream or its failure domain.
 func (d *demo) takenOut(name string) bool {
 	return name == d.drainedUpstream || (d.domainOut != "" && d.fleet.UpstreamDomains()[name] == d.domainOut)
 }
 
-// openUpstreams returns the upstreams of the first service that take work.
+// openUpstreams returns the upstreams of the first service that have not been taken out.
 func (d *demo) openUpstreams() []*upnode.Node {
 	var out []*upnode.Node
 	for _, n := range d.fleet.Upstreams[:d.cfg.Setup.Services[0].Upstreams] {
--- a/internal/bench/drive/balance.go
+++ b/internal/bench/drive/balance.go
@@ -6,7 +6,7 @@
 	"hawthorncourse/internal/stand/upnode"
 )
 
-// BusyTimes returns how long the slots of each upstream were in use so far.
+// BusyTimes returns the cumulative busy time of the slots of each upstream, by upstream name.
 func BusyTimes(upstreams []*upnode.Node) map[string]time.Duration {
 	out := map[string]time.Duration{}
 	for _, n := range upstreams {
@@ -15,7 +15,8 @@
 	return out
 }
 
-// Imbalance returns the highest use of slots since before over the mean.
+// Imbalance returns the ratio of the highest to the mean busy time of the upstreams since before, a result of BusyTimes.
+// It returns zero if no upstream was busy.
 func Imbalance(upstreams []*upnode.Node, before map[string]time.Duration) float64 {
 	var highest, sum time.Duration
 	for _, n := range upstreams {
--- a/internal/bench/drive/drive.go
+++ b/internal/bench/drive/drive.go
@@ -1,4 +1,4 @@
-// Package drive sets callers to work on a fleet and compares what they were told with what upstreams ran.
+// Package drive generates load on a fleet and verifies the responses that callers received against the statistics of the upstreams.
 package drive
 
 import (
@@ -18,48 +18,51 @@
 )
 
 const (
-	requestTimeout    = 4 * time.Second
-	stallTimeout      = 12 * time.Second
-	pollInterval      = 50 * time.Millisecond
+	// requestTimeout is the time after which a caller abandons a request.
+	requestTimeout = 4 * time.Second
+	// stallTimeout is the time without notifications after which a stream counts as broken.
+	stallTimeout = 12 * time.Second
+	pollInterval = 50 * time.Millisecond
+	// maxLatencyMicros and significantDigits are the range and the precision of the latency histogram.
 	maxLatencyMicros  = int64(time.Minute / time.Microsecond)
 	significantDigits = 3
 )
 
-// Config is what a Load is built from.
+// Config holds the parameters of a Load.
 type Config struct {
 	Fleet *fleet.Fleet
-	// Streams, Bookers and Readers are the callers of each service.
+	// Streams, Bookers and Readers are the numbers of callers of each service that keep a stream open, send bookings and send reads.
 	Streams, Bookers, Readers int
 	// ThinkTime is the pause of a caller between two requests.
 	ThinkTime time.Duration
-	// RefreshInterval is how often streams are refreshed.
+	// RefreshInterval is the interval at which streams are refreshed.
 	RefreshInterval time.Duration
-	// Seed feeds tokens.
+	// Seed initializes the token generators of the callers.
 	Seed uint64
 }
 
-// Booking is one booking and what its caller was told.
+// Booking is a booking request, identified by its unique reference, with the outcome that its caller received.
 type Booking struct {
 	Ref         string
 	Outcome     caller.Outcome
 	CompletedAt time.Time
 }
 
-// Stream is one stream and what happened to it.
+// Stream is the report of a stream.
 type Stream struct {
 	caller.StreamReport
-	// FirstUpstream is the upstream where it was opened first.
+	// FirstUpstream is the name of the upstream that the stream was first opened at.
 	FirstUpstream string
 }
 
-// Load is callers of every service at work until it is stopped.
+// Load is a set of callers that send requests to every service until it is stopped.
 type Load struct {
 	cfg    Config
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
 	mu sync.Mutex
-	// all below is guarded by mu.
+	// The fields below are guarded by mu, except lastCaller, which only Start uses.
 	bookings       []Booking
 	reads          map[caller.Outcome]int
 	wrongResponses []string
@@ -69,7 +72,7 @@
 	lastCaller     int
 }
 
-// Start sets callers to work on every service.
+// Start starts the callers of every service.
 func Start(cfg Config) (*Load, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Load{
@@ -101,6 +104,7 @@
 	return l, nil
 }
 
+// startCaller runs work in a new goroutine with its own caller.
 func (l *Load) startCaller(ctx context.Context, id model.ServiceID, work func(context.Context, *caller.Caller, int)) error {
 	l.lastCaller++
 	n := l.lastCaller
@@ -120,12 +124,13 @@
 	return nil
 }
 
-// Stop ends the load and waits for its callers.
+// Stop stops the load and waits until the callers have finished their current requests. It may be called again.
 func (l *Load) Stop() {
 	l.cancel()
 	l.wg.Wait()
 }
 
+// runStream keeps a stream open until ctx is done.
 func (l *Load) runStream(ctx context.Context, c *caller.Caller, n int) {
 	cfg := caller.StreamConfig{Path: "alerts", RefreshInterval: l.cfg.RefreshInterval, StallTimeout: stallTimeout}
 	c.RunStream(ctx, cfg, func(r caller.StreamReport) {
@@ -140,6 +145,7 @@
 	})
 }
 
+// runBookings sends bookings in sequence until ctx is done.
 func (l *Load) runBookings(ctx context.Context, c *caller.Caller, n int) {
 	for k := 0; ctx.Err() == nil; k++ {
 		ref := fmt.Sprintf("ref-%d-%d", n, k)
@@ -152,6 +158,7 @@
 	}
 }
 
+// runReads sends reads in sequence until ctx is done.
 func (l *Load) runReads(ctx context.Context, c *caller.Caller, n int) {
 	for k := 0; ctx.Err() == nil; k++ {
 		query := fmt.Sprintf("q=%d-%d", n, k)
@@ -164,7 +171,7 @@
 	}
 }
 
-// recordResult keeps what a caller was told; mu must be held.
+// recordResult records the result of a request; matches reports whether the response belongs to the request. mu must be held.
 func (l *Load) recordResult(res caller.Result, matches bool, request string) {
 	if res.Outcome != caller.OutcomeDone {
 		l.refused[res.Outcome.String()+": "+res.Payload]++
@@ -172,11 +179,11 @@
 	}
 	_ = l.latency.RecordValue(res.Latency.Microseconds())
 	if !matches {
-		l.wrongResponses = append(l.wrongResponses, request+" got "+res.Payload)
+		l.wrongResponses = append(l.wrongResponses, request+" received "+res.Payload)
 	}
 }
 
-// AwaitStreams waits until every stream is open or ctx ends.
+// AwaitStreams waits until every stream has been opened, or until ctx is done.
 func (l *Load) AwaitStreams(ctx context.Context) error {
 	want := l.cfg.Streams * len(l.cfg.Fleet.Services)
 	for {
@@ -197,7 +204,7 @@
 	}
 }
 
-// Streams returns every stream as it stands.
+// Streams returns the current reports of all streams.
 func (l *Load) Streams() []Stream {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -208,7 +215,7 @@
 	return out
 }
 
-// BrokenStreams returns the streams that broke so far.
+// BrokenStreams returns the streams that have been interrupted at least once.
 func (l *Load) BrokenStreams() []Stream {
 	var out []Stream
 	for _, s := range l.Streams() {
@@ -219,7 +226,7 @@
 	return out
 }
 
-// Bookings counts the bookings that ended after since, by outcome.
+// Bookings counts the bookings completed after since, by outcome.
 func (l *Load) Bookings(since time.Time) map[caller.Outcome]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -232,28 +239,28 @@
 	return out
 }
 
-// Reads counts the reads by outcome.
+// Reads counts the completed reads by outcome.
 func (l *Load) Reads() map[caller.Outcome]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.reads)
 }
 
-// Refused counts what was not done, by what its caller was told.
+// Refused counts the requests that were not done, by outcome and response text.
 func (l *Load) Refused() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.refused)
 }
 
-// ResetLatency forgets the latency so far, as after a warm-up.
+// ResetLatency discards the latencies recorded so far, for example after a warm-up.
 func (l *Load) ResetLatency() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.latency.Reset()
 }
 
-// Latency returns the latency of what was done, in microseconds.
+// Latency returns a histogram of the latencies of successful requests, in microseconds.
 func (l *Load) Latency() *hdrhistogram.Histogram {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/bench/fleet/fleet.go
+++ b/internal/bench/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet runs a whole set-up on one machine: entry processes, and stand-ins for everything around them.
+// Package fleet runs a complete set-up on one machine: real entry processes with a fake platform, fake fabric and fake upstreams.
 package fleet
 
 import (
@@ -23,7 +23,7 @@
 	"hawthorncourse/platform/stand"
 )
 
-// The ports of a fleet; each party has its own loopback address.
+// Ports of a fleet. Each process and fake has its own loopback address, so that all instances use the same ports.
 const (
 	portFront    = 7000
 	portBack     = 7001
@@ -36,68 +36,81 @@
 	portPlatform = 7400
 	portLock     = 7999
 
-	firstBlock    = 20
-	lastBlock     = 250
+	// firstBlock and lastBlock bound the second byte of the loopback addresses of a fleet.
+	firstBlock = 20
+	lastBlock  = 250
+	// endpointDelay is the time until the fabric and the platform's instance list follow a start or stop of an instance.
 	endpointDelay = time.Second
 )
 
-// LinkKind names what a link leads to.
+// LinkKind is the type of the server at the end of a link.
 type LinkKind uint8
 
-// The roles of links.
+// The kinds of links.
 const (
+	// LinkUpstream leads to an upstream.
 	LinkUpstream LinkKind = iota + 1
+	// LinkControl leads to the control address of an instance.
 	LinkControl
+	// LinkHandOff leads to the hand-off address of an instance.
 	LinkHandOff
+	// LinkPlatform leads to the platform.
 	LinkPlatform
 )
 
-// Interposer may put something in the way of a link: it returns the address to use in place of the real one.
-type Interposer func(role LinkKind, owner string, real netip.AddrPort) (netip.AddrPort, error)
+// Interposer may place a proxy in front of a server, for example to inject faults. It returns the address that clients use instead of target,
+// which is the real address of the server.
+type Interposer func(kind LinkKind, server string, target netip.AddrPort) (netip.AddrPort, error)
 
-// Config is what a Fleet is built from.
+// Config holds the parameters of a Fleet.
 type Config struct {
 	Setup Setup
-	// Binary is the program that the entry processes run.
+	// Binary is the path of the program that the entry processes run.
 	Binary string
-	// Dir holds settings and logs.
+	// Dir is the folder for the settings and logs of the instances.
 	Dir string
-	// Interposer may be nil for direct links.
+	// Interposer is called for each link; nil for direct links.
 	Interposer Interposer
-	// Seed feeds every random choice.
+	// Seed initializes all random number generators.
 	Seed uint64
-	// LogLevel is that of the entry processes.
+	// LogLevel is the log level of the entry processes; empty for info.
 	LogLevel string
-	// Policy is that of the entry processes; empty for the default.
+	// Policy is the balancing policy of the entry processes; empty for the default.
 	Policy string
 }
 
-// Fleet is a running set-up.
+// Fleet is a running set-up. Its addresses are in one /16 block of the loopback network.
 type Fleet struct {
-	cfg          Config
-	block        int
+	cfg Config
+	// block is the second byte of the fleet's IP addresses.
+	block int
+	// lockListener reserves the block while it is open.
 	lockListener net.Listener
 
-	Store     *stand.Store
-	Fabric    *spray.Fabric
+	// Store is the fake platform's object store.
+	Store *stand.Store
+	// Fabric is the fake fabric, which distributes callers' packets over the instances.
+	Fabric *spray.Fabric
+	// Upstreams holds the fake upstreams of all services, in the order of the set-up.
 	Upstreams []*upnode.Node
 	Instances []*Instance
-	// Services holds the service addresses by name.
+	// Services maps service IDs to the addresses that callers use.
 	Services map[model.ServiceID]netip.AddrPort
 
-	platform     *http.Server
+	platform *http.Server
+	// platformAddr is the address of the platform that instances use.
 	platformAddr netip.AddrPort
 	group        *errgroup.Group
 	cancel       context.CancelFunc
 
 	mu sync.Mutex
-	// excluded holds the instances that the fabric leaves out, guarded by mu.
+	// excluded holds the instances that receive no packets from the fabric; guarded by mu.
 	excluded map[model.InstanceID]bool
-	// listed holds the instances in the platform's list; guarded by mu.
+	// listed holds the instances in the platform's instance list; guarded by mu.
 	listed []model.InstanceID
 }
 
-// Start builds a fleet and waits until every instance has the document in force.
+// Start starts the fakes, submits the document and starts the instances. It does not wait until they are ready: see AwaitVersion and AwaitUsableSlots.
 func Start(ctx context.Context, cfg Config) (f *Fleet, err error) {
 	defer func() {
 		if err != nil {
@@ -137,7 +150,7 @@
 	return f, nil
 }
 
-// reserveBlock finds a block of loopback addresses that no other fleet uses.
+// reserveBlock selects a /16 block of loopback addresses that no other fleet uses, and holds a listener in it as lock.
 func (f *Fleet) reserveBlock() error {
 	for n := firstBlock + int(f.cfg.Seed)%100; n <= lastBlock; n++ {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", n, portLock))
@@ -146,23 +159,25 @@
 			return nil
 		}
 	}
-	return eris.New("every block of loopback addresses is in use")
+	return eris.New("all blocks of loopback addresses are in use")
 }
 
+// addr returns an address in the fleet's block; subnet and host are the third and fourth byte of the IP address.
 func (f *Fleet) addr(subnet, host, port int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(f.block), byte(subnet), byte(host)}), uint16(port))
 }
 
-// CallerIP returns the IP address of callers.
+// CallerIP returns the IP address that callers send from.
 func (f *Fleet) CallerIP() netip.Addr {
 	return f.addr(0, 4, 1).Addr()
 }
 
-// Address returns an unused address of the fleet's block, for wirings.
+// Address returns an address in the fleet's block; subnet and host are the third and fourth byte of the IP address.
 func (f *Fleet) Address(subnet, host, port int) netip.AddrPort {
 	return f.addr(subnet, host, port)
 }
 
+// linkAddress returns the address that clients of a server use: target, or that of an interposed proxy.
 func (f *Fleet) linkAddress(kind LinkKind, server string, target netip.AddrPort) (netip.AddrPort, error) {
 	if f.cfg.Interposer == nil {
 		return target, nil
@@ -170,6 +185,7 @@
 	return f.cfg.Interposer(kind, server, target)
 }
 
+// startPlatform serves the fake platform's API over HTTP.
 func (f *Fleet) startPlatform() error {
 	l, err := net.Listen("tcp", f.addr(0, 3, portPlatform).String())
 	if err != nil {
@@ -186,6 +202,7 @@
 	return err
 }
 
+// startFabric assigns the service addresses and runs the fake fabric on them.
 func (f *Fleet) startFabric(ctx context.Context) (err error) {
 	var services []netip.AddrPort
 	for n, s := range f.cfg.Setup.Services {
@@ -201,6 +218,7 @@
 	return nil
 }
 
+// startUpstreams starts the fake upstreams of all services.
 func (f *Fleet) startUpstreams(ctx context.Context) error {
 	for s, svc := range f.cfg.Setup.Services {
 		for n := range svc.Upstreams {
@@ -215,7 +233,7 @@
 	return nil
 }
 
-// Upstream returns the named upstream.
+// Upstream returns the fake upstream with the given name, or nil.
 func (f *Fleet) Upstream(name string) *upnode.Node {
 	for _, n := range f.Upstreams {
 		if n.Name() == name {
@@ -225,7 +243,7 @@
 	return nil
 }
 
-// publishInstances tells the fabric and the platform's list which instances there are.
+// publishInstances updates the fabric's targets and the platform's instance list to the instances that are not excluded.
 func (f *Fleet) publishInstances() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -242,7 +260,7 @@
 	f.replaceListed(list)
 }
 
-// replaceListed puts the instances into the platform's list in place of those before.
+// replaceListed replaces the contents of the platform's instance list; mu must be held.
 func (f *Fleet) replaceListed(list []object.Instance) {
 	kind := string(object.KindInstances)
 	for _, id := range f.listed {
@@ -259,7 +277,7 @@
 	}
 }
 
-// setExcluded changes, after the lag of the platform, whether packets go to the instance.
+// setExcluded excludes an instance from the fabric and the platform's instance list, or includes it again. It takes effect after endpointDelay.
 func (f *Fleet) setExcluded(id model.InstanceID, excluded bool) {
 	f.mu.Lock()
 	f.excluded[id] = excluded
@@ -267,7 +285,7 @@
 	time.AfterFunc(endpointDelay, f.publishInstances)
 }
 
-// Close ends every process and stand-in.
+// Close kills all processes and stops the fakes.
 func (f *Fleet) Close() {
 	for _, in := range f.Instances {
 		in.kill()
@@ -286,11 +304,12 @@
 	}
 }
 
-// logPath returns where an instance logs.
+// logPath returns the path of an instance's log file.
 func (f *Fleet) logPath(id model.InstanceID) string {
 	return filepath.Join(f.cfg.Dir, string(id)+".log")
 }
 
+// writeSettings writes the settings file of an instance and returns its path.
 func (f *Fleet) writeSettings(in *Instance) (string, error) {
 	path := filepath.Join(f.cfg.Dir, string(in.ID)+".json")
 	return path, os.WriteFile(path, in.settings(f), 0o600)
@@ -307,7 +326,7 @@
 	return out
 }
 
-// InstanceCount returns the number of instances that the set-up names.
+// InstanceCount returns the number of instances in the set-up, without those added later.
 func (f *Fleet) InstanceCount() int {
 	return f.cfg.Setup.Instances
 }
--- a/internal/bench/fleet/instance.go
+++ b/internal/bench/fleet/instance.go
@@ -17,27 +17,31 @@
 )
 
 const (
+	// pollInterval is the interval at which instances are polled for their status.
 	pollInterval = 50 * time.Millisecond
-	// instancesPerSubnet bounds the instances of one loopback subnet.
-	instancesPerSubnet  = 200
+	// instancesPerSubnet is the maximum number of instances in a loopback subnet; the last byte of the address distinguishes them.
+	instancesPerSubnet = 200
+	// firstInstanceSubnet is the third byte of the addresses of the first instancesPerSubnet instances.
 	firstInstanceSubnet = 100
 )
 
-// Instance is one entry process.
+// Instance is an entry process.
 type Instance struct {
 	ID     model.InstanceID
 	Domain model.DomainID
-	// Front, Back, Hand, Control and Admin are where it listens.
+	// Front, Back, HandOff, Control and Admin are the listen addresses for packets from the fabric, packets of upstreams,
+	// packets handed off by peers, calls of peers, and operators.
 	Front, Back, HandOff, Control, Admin netip.AddrPort
-	// AdvertisedControl and AdvertiseHand are where peers reach Control and Hand.
+	// AdvertisedControl and AdvertisedHandOff are the addresses by which peers reach Control and HandOff.
 	AdvertisedControl, AdvertisedHandOff netip.AddrPort
 
-	cmd     *exec.Cmd
-	exited  chan struct{}
+	cmd    *exec.Cmd
+	exited chan struct{}
+	// leaving is set when a graceful shutdown has started.
 	leaving bool
 }
 
-// defineInstances lays out the instances without starting them.
+// defineInstances assigns names, domains and addresses to the instances without starting them.
 func (f *Fleet) defineInstances() error {
 	s := f.cfg.Setup
 	for n := range s.Instances {
@@ -48,6 +52,7 @@
 	return nil
 }
 
+// defineInstance adds the instance with the given index, counted from zero over all domains.
 func (f *Fleet) defineInstance(index int, domain model.DomainID) (*Instance, error) {
 	subnet, host := firstInstanceSubnet+index/instancesPerSubnet, 1+index%instancesPerSubnet
 	in := &Instance{
@@ -70,7 +75,7 @@
 	return in, nil
 }
 
-// AddInstance starts one more instance in the domain.
+// AddInstance starts an additional instance in the failure domain.
 func (f *Fleet) AddInstance(domain model.DomainID) (*Instance, error) {
 	in, err := f.defineInstance(len(f.Instances), domain)
 	if err != nil {
@@ -83,7 +88,7 @@
 	return in, nil
 }
 
-// settingsJSON is an instance's settings.
+// settingsJSON is the settings file of an instance.
 type settingsJSON struct {
 	Instance      string `json:"instance"`
 	Domain        string `json:"domain"`
@@ -102,8 +107,10 @@
 	StreamLimit   int    `json:"streamLimit"`
 }
 
+// streamLimit is the maximum number of flows that an instance keeps.
 const streamLimit = 500_000
 
+// settings returns the settings file of the instance in JSON.
 func (in *Instance) settings(f *Fleet) []byte {
 	level := f.cfg.LogLevel
 	if level == "" {
@@ -167,7 +174,7 @@
 	return in.cmd.Process.Pid
 }
 
-// Restart starts an instance anew and lets the fabric use it.
+// Restart starts a stopped instance again and includes it in the fabric.
 func (f *Fleet) Restart(in *Instance) error {
 	if err := f.StartInstance(in); err != nil {
 		return err
@@ -176,7 +183,7 @@
 	return nil
 }
 
-// Kill ends the process at once; the fabric notices later.
+// Kill kills the process with SIGKILL; the fabric excludes it after endpointDelay.
 func (f *Fleet) Kill(in *Instance) {
 	in.kill()
 	f.setExcluded(in.ID, true)
@@ -190,17 +197,17 @@
 	<-in.exited
 }
 
-// Pause stops the process in its tracks; Resume lets it go on.
+// Pause suspends the process with SIGSTOP until Resume.
 func (in *Instance) Pause() {
 	_ = in.cmd.Process.Signal(syscall.SIGSTOP)
 }
 
-// Resume lets a paused process go on.
+// Resume continues a paused process.
 func (in *Instance) Resume() {
 	_ = in.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// Stop begins the planned stop; the fabric notices later.
+// Stop starts a graceful shutdown with SIGTERM; the fabric excludes the instance after endpointDelay.
 func (f *Fleet) Stop(in *Instance) {
 	_ = in.cmd.Process.Signal(syscall.SIGTERM)
 	f.mu.Lock()
@@ -209,12 +216,12 @@
 	f.setExcluded(in.ID, true)
 }
 
-// Exited is closed when the process has ended.
+// Exited returns a channel that is closed when the process has exited.
 func (in *Instance) Exited() <-chan struct{} {
 	return in.exited
 }
 
-// AwaitVersion waits until every running instance has the version in force.
+// AwaitVersion waits until every running instance has applied version v of the document or a later one, and has keys. Instances that have exited are ignored.
 func (f *Fleet) AwaitVersion(ctx context.Context, v model.Version) error {
 	for _, in := range f.Instances {
 		if err := in.awaitVersion(ctx, v); err != nil {
@@ -237,18 +244,18 @@
 		}
 		select {
 		case <-ctx.Done():
-			return eris.Errorf("instance %s has version %d, not %d: %v", in.ID, w.Document, v, err)
+			return eris.Errorf("instance %s has document version %d instead of %d: %v", in.ID, w.Document, v, err)
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// Status asks the instance for its report.
+// Status fetches the status of the instance from its admin address.
 func (in *Instance) Status(ctx context.Context) (status.WireReport, error) {
 	return status.Fetch(ctx, in.Admin.String())
 }
 
-// AwaitUsableSlots waits until every upstream of every service is warm somewhere or the context ends.
+// AwaitUsableSlots waits until the instances together may use at least want upstream slots, or until ctx is done.
 func (f *Fleet) AwaitUsableSlots(ctx context.Context, want int) error {
 	for {
 		usable := 0
@@ -266,7 +273,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return eris.Errorf("only %d of %d slots are usable", usable, want)
+			return eris.Errorf("only %d of %d upstream slots are usable", usable, want)
 		case <-time.After(pollInterval):
 		}
 	}
--- a/internal/bench/fleet/operate.go
+++ b/internal/bench/fleet/operate.go
@@ -10,7 +10,7 @@
 	"hawthorncourse/internal/plat/object"
 )
 
-// Apply sends a document as an operator would.
+// Apply submits a document in place of the current one, through the same calls as the operators' command.
 func (f *Fleet) Apply(ctx context.Context, text []byte) (model.Version, error) {
 	client := f.client()
 	base, err := change.Read(ctx, client)
@@ -20,7 +20,7 @@
 	return change.Submit(ctx, client, base, text, "fleet")
 }
 
-// Edit changes the document in force as an operator would.
+// Edit submits the current document with the changes of edit, through the same calls as the operators' command.
 func (f *Fleet) Edit(ctx context.Context, edit func(change.StoredDocument) ([]byte, error)) (model.Version, error) {
 	client := f.client()
 	base, err := change.Read(ctx, client)
@@ -38,7 +38,7 @@
 	return object.NewClient(f.PlatformURL(), netip.Addr{})
 }
 
-// PlatformURL returns the URL of the platform for operators.
+// PlatformURL returns the URL of the fake platform, without an interposed proxy.
 func (f *Fleet) PlatformURL() string {
 	return "http://" + f.addr(0, 3, portPlatform).String()
 }
--- a/internal/bench/fleet/setup.go
+++ b/internal/bench/fleet/setup.go
@@ -10,31 +10,32 @@
 	"hawthorncourse/internal/stand/upnode"
 )
 
-// Setup is what a fleet looks like.
+// Setup describes the services, sizes and timing of a fleet.
 type Setup struct {
-	Name     string
+	Name string
+	// Region is the region of all failure domains.
 	Region   string
 	Domains  []model.DomainID
 	Services []Service
-	// Instances is the number of entry instances, spread over the domains in turn.
+	// Instances is the number of entry instances, assigned to the failure domains in turn.
 	Instances int
-	// RequestTime is the mean time of one request at the fastest upstream.
+	// RequestTime is the mean execution time of a request at the fastest upstream of a service.
 	RequestTime time.Duration
-	// MaxSlowdown is how many times slower the slowest upstream is.
+	// MaxSlowdown is the ratio of the request times of the slowest and the fastest upstream; the others are spaced evenly between.
 	MaxSlowdown float64
-	// NotificationInterval is the time between notifications of a stream.
+	// NotificationInterval is the interval between notifications of a stream.
 	NotificationInterval time.Duration
-	// AbsentUpstreams is the number of upstreams that stand in the document only.
+	// AbsentUpstreams is the number of additional upstreams that are in the document but do not exist, which makes the document larger without load.
 	AbsentUpstreams int
-	// DuplicateRate is the share of callers' packets that the fabric doubles.
+	// DuplicateRate is the share of callers' packets that the fabric duplicates, between 0 and 1.
 	DuplicateRate float64
-	// Timing of the document; zero values are left to their defaults.
+	// The timing parameters of the document; zero values select the defaults.
 	Detection, WarmLease, BindingLifetime time.Duration
 	RequestTimeout, RefreshInterval       time.Duration
 	ColdDuration                          time.Duration
 }
 
-// Service is one service of a set-up.
+// Service describes a service of a set-up. Kind is coap or datagram; Slots and Connections are the limits of each upstream.
 type Service struct {
 	ID          model.ServiceID
 	Kind        string
@@ -43,7 +44,7 @@
 	Connections int
 }
 
-// The sizes of both set-ups, as they run today.
+// Sizes and timing of both set-ups. The sizes are those of the users' production sites.
 const (
 	instanceCount        = 7
 	largeUpstreams       = 14
@@ -64,7 +65,7 @@
 	coldConnections      = 50
 )
 
-// Regie returns the set-up of the Régie.
+// Regie returns the set-up that models the Régie's site.
 func Regie() Setup {
 	return newSetup("regie", "wallonie", []model.DomainID{"namur-ville", "jambes", "gembloux"}, []Service{
 		{ID: "ruche-service", Kind: "coap", Upstreams: largeUpstreams, Slots: regieSlots, Connections: connections},
@@ -72,7 +73,7 @@
 	})
 }
 
-// Ikirere returns the set-up of Ikirere.
+// Ikirere returns the set-up that models Ikirere's site.
 func Ikirere() Setup {
 	return newSetup("ikirere", "rw-north", []model.DomainID{"musanze", "gakenke", "burera"}, []Service{
 		{ID: "order-desk", Kind: "coap", Upstreams: largeUpstreams, Slots: ikirereSlots, Connections: connections},
@@ -99,7 +100,7 @@
 	}
 }
 
-// upstreamConfig returns the stand-in of the service's n-th upstream; the last is the slowest.
+// upstreamConfig returns the configuration of the fake upstream with the given index in its service; the last one is the slowest.
 func (s Setup) upstreamConfig(svc Service, index int, service, addr netip.AddrPort, seed uint64) upnode.Config {
 	slowdown := 1.0
 	if svc.Upstreams > 1 {
@@ -125,12 +126,12 @@
 	return fmt.Sprintf("%s-%d", svc.ID, index+1)
 }
 
-// domainOf returns the domain of a service's n-th upstream.
+// domainOf returns the failure domain of the instance or upstream with the given index.
 func (s Setup) domainOf(index int) model.DomainID {
 	return s.Domains[index%len(s.Domains)]
 }
 
-// The wire types of the documents that fleets send.
+// The JSON format of the document that a fleet submits.
 type (
 	documentJSON struct {
 		Note     string        `json:"note"`
@@ -168,7 +169,7 @@
 	}
 )
 
-// document returns the set-up as the operators' document.
+// document returns the set-up as an operators' document in JSON.
 func (f *Fleet) document() []byte {
 	s := f.cfg.Setup
 	doc := documentJSON{
@@ -199,13 +200,14 @@
 }
 
 const (
-	// absentPerService is the number of upstreams behind one address.
-	absentPerService  = 11
+	// absentPerService is the number of absent upstreams in each of their services.
+	absentPerService = 11
+	// firstAbsentSubnet is the third byte of the addresses of the first hostsPerSubnet absent upstreams.
 	firstAbsentSubnet = 150
 	hostsPerSubnet    = 250
 )
 
-// absentServices returns services whose upstreams do not exist.
+// absentServices returns services with AbsentUpstreams upstreams in total, none of which exist.
 func (f *Fleet) absentServices() []serviceJSON {
 	var out []serviceJSON
 	for n := range f.cfg.Setup.AbsentUpstreams {
@@ -232,6 +234,7 @@
 	return out
 }
 
+// upstreamEntry returns the document entry of the upstream with the given index in its service and fakeIndex in f.Upstreams.
 func (f *Fleet) upstreamEntry(svc Service, index, fakeIndex int) upstreamJSON {
 	s := f.cfg.Setup
 	addr, err := f.linkAddress(LinkUpstream, upstreamName(svc, index), f.Upstreams[fakeIndex].Address())
--- a/internal/bench/replay/caller.go
+++ b/internal/bench/replay/caller.go
@@ -7,55 +7,64 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// How callers behave, as the platform describes them.
+// Timing and retries of callers, as the platform's documentation specifies them.
 const (
+	// firstSynRetransmit and secondSynRetransmit are the times of the SYN retransmissions after the first SYN.
 	firstSynRetransmit  = 200 * time.Millisecond
 	secondSynRetransmit = 600 * time.Millisecond
-	connectTimeout      = 1400 * time.Millisecond
-	initialRTO          = 200 * time.Millisecond
-	maxRTO              = 1600 * time.Millisecond
-	maxAttempts         = 3
-	// retryDelay is a caller's pause before its next try.
-	retryDelay  = 5 * time.Millisecond
+	// connectTimeout is the time after which a flow without a SYN-ACK fails.
+	connectTimeout = 1400 * time.Millisecond
+	// initialRTO is the first retransmission timeout of data; it doubles up to maxRTO.
+	initialRTO = 200 * time.Millisecond
+	maxRTO     = 1600 * time.Millisecond
+	// maxAttempts is the number of attempts per request, including the first.
+	maxAttempts = 3
+	// retryDelay is the pause of a caller between two attempts.
+	retryDelay = 5 * time.Millisecond
+	// requestSize is the size of a request and of a response in bytes.
 	requestSize = 400
-	// loadStart is when callers begin; instances are ready before.
+	// loadStart is the time of the first requests; instances are ready before.
 	loadStart = 500 * time.Millisecond
 )
 
-// request is one request of a caller, over all its tries.
+// request is a request of a caller with all its attempts.
 type request struct {
-	sim       *simulation
+	sim *simulation
+	// domain is the failure domain of the caller.
 	domain    model.DomainID
 	startedAt model.Instant
 	attempts  int
-	// atMostOnce is set for requests that run at most once.
+	// atMostOnce is set for bookings, which must not be executed twice.
 	atMostOnce bool
-	// done is set when the request is answered or given up.
+	// done is set when the request is answered or has failed.
 	done bool
-	// onDone is called when it is, with the flow that may be used again.
+	// onDone is called when done is set, with the flow for the next request; nil if the request failed.
 	onDone func(*callerFlow)
-	// executions counts how often an upstream worked on it.
+	// executions counts how often upstreams executed the request.
 	executions int
 }
 
-// callerFlow is one flow as its caller sees it.
+// callerFlow is the caller's end of a flow. The embedded request is the current one; a long-lived flow carries several in sequence.
 type callerFlow struct {
 	*request
 	key model.FlowKey
-	// upstream is the upstream that the caller's handshake was with; nil before.
+	// upstream is the upstream that answered the handshake; nil until then.
 	upstream *upstream
-	tag      model.RoutingTag
-	// acceptedBy is the upstream that has the present request.
+	// tag is the routing tag that the caller sends back with each packet.
+	tag model.RoutingTag
+	// acceptedBy is the upstream that received the current request; nil if none did.
 	acceptedBy *upstream
-	// acked is set once the upstream has confirmed the request's data.
-	acked         bool
-	closed        bool
-	seq           uint32
-	ackSeq        uint32
+	// acked is set when the upstream has acknowledged the data of the current request.
+	acked  bool
+	closed bool
+	// seq and ackSeq are the sequence and acknowledgement numbers of the next packet.
+	seq    uint32
+	ackSeq uint32
+	// currentPacket is the latest packet that reached an instance, which forwards it.
 	currentPacket model.Segment
 }
 
-// startCallers lets users of long flows and arrivals of bookings begin.
+// startCallers schedules the first request of each user and the first booking of a failure domain.
 func (s *simulation) startCallers(d model.DomainID) {
 	for range s.pattern.Users {
 		s.after(loadStart+s.randomPause(s.pattern.ThinkTime), func() { s.requestOnLongFlow(d, nil) })
@@ -65,7 +74,7 @@
 	}
 }
 
-// requestOnLongFlow asks once on a long flow, opening one if there is none, and again after a pause.
+// requestOnLongFlow sends a user's next request on its flow and opens a new flow if it has none. It repeats after a pause.
 func (s *simulation) requestOnLongFlow(d model.DomainID, flow *callerFlow) {
 	if s.loadEnded() {
 		return
@@ -85,6 +94,7 @@
 	flow.sendRequest(initialRTO)
 }
 
+// requestOnNewFlow sends a booking on its own flow and schedules the next booking of the failure domain.
 func (s *simulation) requestOnNewFlow(d model.DomainID) {
 	if s.loadEnded() {
 		return
@@ -96,7 +106,7 @@
 	s.after(s.randomPause(time.Second/time.Duration(s.pattern.BookingRate)), func() { s.requestOnNewFlow(d) })
 }
 
-// openFlow begins a try on a new flow.
+// openFlow starts an attempt on a new flow.
 func (r *request) openFlow() {
 	r.attempts++
 	r.sim.flowCount++
@@ -118,15 +128,16 @@
 	})
 }
 
+// sendSyn sends the SYN with the given retransmission count, unless the flow is open or closed already.
 func (f *callerFlow) sendSyn(retransmission uint32) {
 	if f.upstream == nil && !f.closed {
 		f.send(model.Segment{Flow: f.key, Syn: true, Retransmission: retransmission})
 	}
 }
 
-// send sends a packet through the instance that routers choose now.
+// send sends a packet by way of the instance that the routers currently select.
 func (f *callerFlow) send(seg model.Segment) {
-	// The engine keeps an opening packet by its bytes, which the model does not look at.
+	// The engine stores the raw bytes of a SYN for resending; the simulation does not read them.
 	seg.Raw = []byte{0}
 	if f.sim.dropPacket() {
 		return
@@ -137,7 +148,7 @@
 	})
 }
 
-// handleSynAck takes an upstream's answer to the opening packet.
+// handleSynAck handles the SYN-ACK of an upstream. A further SYN-ACK only updates the routing tag.
 func (f *callerFlow) handleSynAck(u *upstream, tag model.RoutingTag) {
 	if f.closed {
 		return
@@ -151,7 +162,7 @@
 	f.sendRequest(initialRTO)
 }
 
-// sendRequest sends the request's data, and again until the upstream has confirmed it.
+// sendRequest sends the data of the request and retransmits it with exponential backoff until the upstream acknowledges it.
 func (f *callerFlow) sendRequest(timeout time.Duration) {
 	r := f.request
 	f.send(model.Segment{Flow: f.key, HasAck: true, Tag: f.tag, Seq: f.seq, AckSeq: f.ackSeq, Size: requestSize})
@@ -166,7 +177,7 @@
 	f.acked = true
 }
 
-// handleResponse takes the upstream's answer.
+// handleResponse handles the response to the current request. A booking closes its flow with a FIN.
 func (f *callerFlow) handleResponse() {
 	if f.closed || f.done {
 		return
@@ -180,19 +191,20 @@
 	f.finish(true, f)
 }
 
-// handleRejection takes the upstream's word that the request was not run.
+// handleRejection handles the upstream's reply that it did not execute the request because its queue is full.
 func (f *callerFlow) handleRejection() {
 	f.fail(true)
 }
 
-// handleReset takes a reset.
+// handleReset handles an RST. Before the handshake has completed, the request cannot have been executed.
 func (f *callerFlow) handleReset() {
 	if !f.closed {
 		f.fail(f.upstream == nil)
 	}
 }
 
-// fail ends the try; notRun tells that the request has not run for certain.
+// fail closes the flow and retries the request on a new one if attempts are left.
+// A booking is only retried if notRun is set, which means that it was certainly not executed.
 func (f *callerFlow) fail(notRun bool) {
 	if f.closed {
 		return
@@ -222,7 +234,7 @@
 	r.finish(false, nil)
 }
 
-// finish ends the request.
+// finish records the outcome of the request, once, and closes its flows if it failed.
 func (r *request) finish(ok bool, flow *callerFlow) {
 	if r.done {
 		return
--- a/internal/bench/replay/instance.go
+++ b/internal/bench/replay/instance.go
@@ -10,28 +10,31 @@
 )
 
 const (
-	// maxStaleness is how old an instance's knowledge becomes.
+	// maxStaleness is the longest time after which an instance with a connection to the store sees a change of the registry.
 	maxStaleness = time.Second
-	// startupTime is what an instance takes from its start to being ready.
+	// startupTime is the time from the start of an instance until it is ready.
 	startupTime = 50 * time.Millisecond
-	// readinessInterval is the rhythm of the routers' readiness checks; two misses take an instance out.
+	// readinessInterval is the interval of the routers' readiness checks; two consecutive failures remove an instance from rotation.
 	readinessInterval = 500 * time.Millisecond
-	flowLifetime      = time.Minute
+	// flowLifetime is the maximum lifetime of a flow.
+	flowLifetime = time.Minute
 )
 
-// instance is one entry instance.
+// instance simulates an entry instance: a decision engine with its network and its readiness checks.
 type instance struct {
 	sim    *simulation
 	domain model.DomainID
-	// index is its number in the failure domain.
+	// index is the position of the instance in its failure domain, from zero.
 	index  int
 	engine *direct.Engine
-	// runningGeneration is the number of the start that runs; zero while none does.
+	// runningGeneration is the generation that is running; zero while the instance is stopped.
 	runningGeneration int
-	generation        int
-	// failedChecks counts the readiness checks in a row that failed.
+	// generation is incremented by each start and stop, so that tasks of an earlier run are recognized and ignored.
+	generation int
+	// failedChecks counts the consecutive failures of the readiness check.
 	failedChecks int
-	nextTick     model.Instant
+	// nextTick is the time of the next scheduled tick of the engine.
+	nextTick model.Instant
 }
 
 func newInstance(s *simulation, d model.DomainID, index int) *instance {
@@ -41,6 +44,7 @@
 	return in
 }
 
+// start starts the instance with a new engine; it is ready after startupTime unless it is stopped before.
 func (in *instance) start() {
 	in.generation++
 	generation := in.generation
@@ -50,8 +54,11 @@
 		}
 		in.runningGeneration = generation
 		in.engine = direct.New(direct.Config{
-			Domain: in.domain, Seed: in.sim.cfg.Seed + uint64(generation) + uint64(in.sim.rng.Uint32()), Limits: direct.Limits{Domains: len(in.sim.instancesByDomain), FlowLife: flowLifetime},
-			Policy: in.sim.cfg.Policy, Disabled: in.sim.cfg.Disabled,
+			Domain:   in.domain,
+			Seed:     in.sim.cfg.Seed + uint64(generation) + uint64(in.sim.rng.Uint32()),
+			Limits:   direct.Limits{Domains: len(in.sim.instancesByDomain), FlowLife: flowLifetime},
+			Policy:   in.sim.cfg.Policy,
+			Disabled: in.sim.cfg.Disabled,
 		})
 		in.engine.SetRoutes(routes())
 		in.engine.SetOrdinal(model.Ordinal{Index: in.index, Count: in.sim.pattern.Instances}, in.now().Add(in.sim.pattern.Duration))
@@ -61,12 +68,14 @@
 	})
 }
 
+// stop stops the instance and cancels a pending start.
 func (in *instance) stop() {
 	in.runningGeneration = 0
 	in.generation++
 }
 
-// scheduleSync lets the instance learn of the registry some time later, if it is not cut off from the store then.
+// scheduleSync schedules a sync of the registry after a random delay of up to maxStaleness.
+// While the instance's failure domain is partitioned from the store, the sync is postponed by another such delay.
 func (in *instance) scheduleSync() {
 	in.sim.after(time.Duration(in.sim.rng.Int64N(int64(maxStaleness))), func() {
 		switch {
@@ -78,18 +87,19 @@
 	})
 }
 
+// syncRegistry copies the current registry to the engine.
 func (in *instance) syncRegistry() {
 	in.engine.Roster().Sync(in.now(), in.sim.listing())
 	in.engine.Roster().SetOut(in.now(), in.sim.domainsOut)
 	in.engine.Roster().Confirm(in.now(), in.now())
 }
 
-// now is the instant on the instance's clock, which is past the grace of a start at once.
+// now returns the time on the instance's clock. It is offset from virtual time so that the grace period after a start has passed already.
 func (in *instance) now() model.Instant {
 	return in.sim.now.Add(roster.OutageGrace + time.Second)
 }
 
-// checkReadiness plays the routers' readiness checks.
+// checkReadiness simulates the routers' readiness checks of the instance.
 func (in *instance) checkReadiness() {
 	if in.runningGeneration == 0 || in.engine.Isolated() {
 		in.failedChecks++
@@ -101,12 +111,13 @@
 	}
 }
 
-// inRotation reports whether routers send to the instance.
+// inRotation reports whether routers send packets to the instance.
 func (in *instance) inRotation() bool {
 	return in.failedChecks < 2
 }
 
-// routeFlow returns the instance that a flow's packets go to: by a hash over those in rotation, or over all if most are out.
+// routeFlow returns the instance that receives the packets of a flow: the flow's hash selects among the instances in rotation of its failure domain.
+// If fewer than half are in rotation, it selects among all. A domain with none in rotation fails over to the other domains.
 func (s *simulation) routeFlow(f *callerFlow) *instance {
 	for _, d := range append([]model.DomainID{f.domain}, s.otherDomains(f.domain)...) {
 		var pool []*instance
@@ -126,6 +137,7 @@
 	return all[f.key.Hash()%uint64(len(all))]
 }
 
+// otherDomains returns the failure domains other than d.
 func (s *simulation) otherDomains(d model.DomainID) []model.DomainID {
 	var list []model.DomainID
 	for _, name := range s.pattern.Domains {
@@ -136,7 +148,7 @@
 	return list
 }
 
-// handlePacket takes a caller's packet.
+// handlePacket passes a caller's packet to the engine and executes the resulting actions.
 func (in *instance) handlePacket(seg model.Segment, f *callerFlow) {
 	if in.runningGeneration == 0 {
 		return
@@ -145,7 +157,7 @@
 	in.scheduleTick(in.sim.now)
 }
 
-// scheduleTick lets the engine tick when it is due.
+// scheduleTick schedules a tick of the engine at its next deadline, but no later than after tickInterval.
 func (in *instance) scheduleTick(now model.Instant) {
 	const tickInterval = 100 * time.Millisecond
 	at := now.Add(tickInterval)
@@ -166,10 +178,10 @@
 	})
 }
 
-// suspicionDelay is how long word of doubt takes to the others of a failure domain, by way of the one that reads for it.
+// suspicionDelay is the time that a suspicion takes to the other instances of a failure domain by way of the domain's reader.
 const suspicionDelay = 3 * time.Millisecond
 
-// shareSuspicion passes on what the instance found silent.
+// shareSuspicion sends the suspicions raised by the engine to the other instances of the failure domain.
 func (in *instance) shareSuspicion() {
 	suspicion := in.engine.TakeSuspicion()
 	if suspicion.Empty() {
@@ -188,7 +200,7 @@
 	}
 }
 
-// execute carries out the engine's actions.
+// execute carries out actions of the engine; f is the flow whose packet caused them, nil after a tick or probe.
 func (in *instance) execute(actions []direct.Action, f *callerFlow) {
 	defer in.shareSuspicion()
 	for _, a := range actions {
@@ -205,13 +217,14 @@
 	}
 }
 
+// forward delivers a packet to the upstream that the engine selected, unless it is lost or the upstream is unreachable.
 func (in *instance) forward(a direct.Action, f *callerFlow) {
 	u := in.sim.upstreamsByNumber[a.Upstream.Number]
 	target := in.sim.result.openFlows[a.Flow]
 	if target == nil || !in.sim.connected(in.domain, u.reg.Domain) || in.sim.dropPacket() {
 		return
 	}
-	// Without a caller's packet, the engine sends the opening packet on by itself.
+	// Without a caller's packet, the engine resends the SYN that it has stored.
 	seg := model.Segment{Flow: a.Flow, Syn: true}
 	if f != nil {
 		seg = f.currentPacket
@@ -220,6 +233,7 @@
 	in.sim.after(networkDelay(in.domain, u.reg.Domain), func() { u.handlePacket(seg, target) })
 }
 
+// probe simulates a health probe: it succeeds after one round trip, or fails after wait if the upstream is down or unreachable.
 func (in *instance) probe(candidate *roster.Upstream, wait time.Duration) {
 	u, generation := in.sim.upstreamsByNumber[candidate.Number], in.runningGeneration
 	outcome := health.OutcomeFailed
--- a/internal/bench/replay/pattern.go
+++ b/internal/bench/replay/pattern.go
@@ -1,4 +1,6 @@
-// Package replay plays load patterns against the decisions of direct flows in virtual time: no sockets, no clock, the same result for the same seed.
+// Package replay simulates load patterns against the decision engine for direct flows.
+//
+// It is a discrete-event simulation in virtual time: it opens no sockets, reads no clock and gives the same result for the same seed.
 package replay
 
 import (
@@ -14,73 +16,73 @@
 	"hawthorncourse/internal/conf/reader"
 )
 
-// Pattern is one load with what happens during it.
+// Pattern describes a load and the faults and changes that occur during it.
 type Pattern struct {
-	// Name is that of the file.
+	// Name is the file name without its extension.
 	Name string
-	// Note says what the pattern stands for.
+	// Note describes the pattern for readers.
 	Note string
-	// Duration is how long callers ask.
+	// Duration is how long callers start new requests.
 	Duration time.Duration
-	// Domains holds the failure domains; callers, instances and upstreams are in them in equal parts.
+	// Domains lists the failure domains. Each has the same number of callers, instances and upstreams.
 	Domains []string
-	// Instances, Upstreams and Users are numbers in each failure domain.
+	// Instances, Upstreams and Users are counts per failure domain. Each user sends its requests on one long-lived flow.
 	Instances int
 	Upstreams int
 	Users     int
-	// Slots is the number of requests that one upstream works on at once.
+	// Slots is the number of requests that an upstream executes concurrently.
 	Slots int
-	// QueueLimit is the number of requests that wait at one upstream; more are rejected as not run.
+	// QueueLimit is the queue length of an upstream; further requests are rejected without being executed.
 	QueueLimit int
-	// TimeFactors holds factors of working time that upstreams have in turn.
+	// TimeFactors holds multipliers of the request time as decimal numbers, assigned to upstreams in turn.
 	TimeFactors []string
-	// ThinkTime is the mean pause of a user between two requests on its long flow.
+	// ThinkTime is the mean pause of a user between two requests.
 	ThinkTime time.Duration
-	// BookingRate is the number of requests a second, in each domain, that open a flow each and run at most once.
+	// BookingRate is the number of bookings per second in each failure domain. A booking opens its own flow and must run at most once.
 	BookingRate int
-	// RequestTime is the mean working time of a request.
+	// RequestTime is the mean execution time of a request.
 	RequestTime time.Duration
-	// LatencyTarget is the latency objective of a request, from its first try.
+	// LatencyTarget is the latency objective of a request, measured from its first attempt.
 	LatencyTarget time.Duration
-	// Deadline is when a caller gives a request up.
+	// Deadline is the time after which a caller abandons a request.
 	Deadline time.Duration
-	// Events is what happens, in any order.
+	// Events lists the faults and changes, in any order.
 	Events []Event
 }
 
-// Event is one thing that happens.
+// Event is a fault or change during a pattern.
 type Event struct {
-	// At is when it begins.
+	// At is the start time, from the start of the pattern.
 	At time.Duration
-	// Duration is how long it lasts; zero for good.
+	// Duration is how long the event lasts. EventCrash and EventReplace are permanent and ignore it.
 	Duration time.Duration
 	Kind     EventKind
-	// Domain is where; empty for everywhere.
+	// Domain restricts the event to a failure domain; empty for all.
 	Domain string
-	// Count is how many upstreams, where it concerns upstreams.
+	// Count is the number of affected upstreams, for events that affect upstreams.
 	Count int
-	// Factor is how strong, where it has a strength, in percent.
+	// Factor is the multiplier of EventSlow and EventBurst in percent; 200 doubles the value.
 	Factor int
 }
 
-// EventKind says what happens.
+// EventKind is the type of an event.
 type EventKind string
 
 // The kinds of events.
 const (
-	// EventCrash silences upstreams for good; their entries vanish three heartbeats later.
+	// EventCrash stops upstreams permanently; their registry entries expire after three missed heartbeats.
 	EventCrash EventKind = "die"
-	// EventSlow makes upstreams slower by Factor percent.
+	// EventSlow multiplies the request time of upstreams by Factor percent.
 	EventSlow EventKind = "slow"
-	// EventPartition cuts a failure domain's instances and upstreams from the others.
+	// EventPartition disconnects the instances and upstreams of a failure domain from the other domains and from the store.
 	EventPartition EventKind = "cut"
-	// EventPowerLoss takes all instances down.
+	// EventPowerLoss stops all instances and restarts them after Duration.
 	EventPowerLoss EventKind = "power"
-	// EventBurst multiplies the load by Factor percent.
+	// EventBurst multiplies the request rate by Factor percent.
 	EventBurst EventKind = "burst"
-	// EventReplace replaces upstreams one by one: a cold one begins, the old one drains and ends.
+	// EventReplace replaces upstreams one by one: a cold upstream starts, the old one drains and stops.
 	EventReplace EventKind = "replace"
-	// EventDomainOut takes a failure domain out by the operators' word.
+	// EventDomainOut marks a failure domain as taken out by operators.
 	EventDomainOut EventKind = "out"
 )
 
@@ -89,7 +91,7 @@
 //go:embed testdata/*.json
 var patternFiles embed.FS
 
-// Patterns returns the recorded patterns, by name.
+// Patterns returns the built-in patterns, sorted by name.
 func Patterns() (list []*Pattern, err error) {
 	defer func() {
 		if err != nil {
@@ -114,7 +116,7 @@
 	return list, nil
 }
 
-// Load returns the recorded pattern of the name.
+// Load returns the built-in pattern with the given name.
 func Load(name string) (*Pattern, error) {
 	list, err := Patterns()
 	if err != nil {
@@ -125,15 +127,16 @@
 			return p, nil
 		}
 	}
-	return nil, eris.Errorf("there is no pattern %q", name)
+	return nil, eris.Errorf("unknown pattern %q", name)
 }
 
+// Limits of the numbers and durations in a pattern.
 const (
 	maxCount    = 10_000
 	maxDuration = time.Hour
 )
 
-// ParsePattern reads a pattern; the error holds every fault with its line.
+// ParsePattern parses a pattern in JSON. The error lists every fault with its line.
 func ParsePattern(name string, text []byte) (*Pattern, error) {
 	p := &Pattern{Name: name}
 	errs := reader.Read(text, reader.Schema{
@@ -158,6 +161,7 @@
 	return p, errs.Err()
 }
 
+// textList returns a schema function that appends the strings of an array to dst.
 func textList(dst *[]string) func(reader.Field) {
 	return func(f reader.Field) {
 		f.Array(func(f reader.Field) {
@@ -168,6 +172,7 @@
 	}
 }
 
+// readEvent reads an event and reports a fault if its kind is unknown.
 func readEvent(f reader.Field) (e Event) {
 	f.Object(reader.Schema{
 		"at":     reader.Duration(&e.At, 0, maxDuration),
@@ -178,7 +183,7 @@
 		"factor": reader.Number(&e.Factor, 1, maxCount),
 	})
 	if !slices.Contains(eventKinds, e.Kind) {
-		f.Fault("kind %q is not known", e.Kind)
+		f.Fault("unknown kind %q", e.Kind)
 	}
 	return e
 }
--- a/internal/bench/replay/replay_test.go
+++ b/internal/bench/replay/replay_test.go
@@ -8,7 +8,7 @@
 	"hawthorncourse/internal/bench/replay"
 )
 
-// TestDeterministic checks that the same seed gives the same result.
+// TestDeterministic checks that two replays with the same seed have the same result.
 func TestDeterministic(t *testing.T) {
 	is := is.New(t)
 	p, err := replay.Load("dead")
@@ -17,7 +17,7 @@
 	is.Equal(first.String(), second.String())
 }
 
-// TestOutcomes checks in every pattern that no decision lets a booking run twice, and that every request has an outcome.
+// TestOutcomes checks for every pattern and variant that no booking is executed twice and that every request has an outcome.
 func TestOutcomes(t *testing.T) {
 	list, err := replay.Patterns()
 	if err != nil {
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestInvalidPatterns checks that a pattern that cannot be played is refused with its line.
+// TestInvalidPatterns checks that ParsePattern rejects invalid patterns.
 func TestInvalidPatterns(t *testing.T) {
 	cases := map[string]string{
 		"no JSON":          `{`,
--- a/internal/bench/replay/result.go
+++ b/internal/bench/replay/result.go
@@ -8,29 +8,29 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// windowLength is the length of the spans whose worst are reported, that of the users' bench.
+// windowLength is the length of the windows whose worst on-time shares are reported; the users' own benchmark has the same.
 const windowLength = 2 * time.Second
 
-// Result is what the callers of one replay saw.
+// Result holds the outcomes of a replay as its callers observed them.
 type Result struct {
-	// Asked, InAim, Late and Failed count requests.
+	// Requests counts all requests. Each ends as OnTime (answered within the latency target), Late or Failed.
 	Requests, OnTime, Late, Failed int
-	// DuplicateBookings counts runs beyond the first of requests that run at most once.
+	// DuplicateBookings counts executions of bookings beyond the first of each; bookings must run at most once.
 	DuplicateBookings int
-	// ExtraExecutions counts runs beyond the first of any request.
+	// ExtraExecutions counts executions of any requests beyond the first of each.
 	ExtraExecutions int
-	// WorstWindows holds the shares in aim of the two worst windows.
+	// WorstWindows holds the on-time shares of the two worst windows, between 0 and 1.
 	WorstWindows [2]float64
-	// MaxLoadRatio is the load of the busiest upstream over the mean.
+	// MaxLoadRatio is the number of requests at the busiest upstream divided by the mean of all upstreams.
 	MaxLoadRatio float64
 
 	pattern *Pattern
-	// openFlows holds the flows that callers wait on.
+	// openFlows holds the flows that callers have open.
 	openFlows map[model.FlowKey]*callerFlow
 	windows   []windowCounts
 }
 
-// windowCounts counts the requests that were asked within one window.
+// windowCounts counts the requests that were started within a window.
 type windowCounts struct {
 	requests, onTime int
 }
@@ -44,6 +44,7 @@
 	r.windows[time.Duration(req.startedAt)/windowLength].requests++
 }
 
+// recordExecution counts an execution of the flow's current request by an upstream.
 func (r *Result) recordExecution(f *callerFlow) {
 	f.executions++
 	if f.executions > 1 {
@@ -66,6 +67,7 @@
 	}
 }
 
+// summarize computes WorstWindows and MaxLoadRatio at the end of a replay.
 func (r *Result) summarize(upstreams []*upstream) {
 	var shares []float64
 	for _, w := range r.windows {
@@ -85,12 +87,12 @@
 	}
 }
 
-// OnTimeShare returns the share of requests that were served in aim.
+// OnTimeShare returns the share of requests that were answered within the latency target, between 0 and 1.
 func (r *Result) OnTimeShare() float64 {
 	return float64(r.OnTime) / float64(max(r.Requests, 1))
 }
 
-// String returns the result as one line.
+// String formats the result as one line.
 func (r *Result) String() string {
 	return fmt.Sprintf("asked %6d  in aim %.4f  late %5d  failed %4d  worst windows %.3f %.3f  busiest/mean %.2f  run again %d (%d of bookings)",
 		r.Requests, r.OnTimeShare(), r.Late, r.Failed, r.WorstWindows[0], r.WorstWindows[1], r.MaxLoadRatio, r.ExtraExecutions, r.DuplicateBookings)
--- a/internal/bench/replay/world.go
+++ b/internal/bench/replay/simulation.go
@@ -15,56 +15,65 @@
 	"hawthorncourse/internal/core/roster"
 )
 
-// The times of the modelled network, those of today's smaller site.
+// One-way delays and loss rate of the simulated network. The values are those of the smaller production site.
 const (
-	callerDelay      = 3 * time.Millisecond
+	// callerDelay is the delay between a caller and an instance or upstream.
+	callerDelay = 3 * time.Millisecond
+	// sameDomainDelay and crossDomainDelay are the delays between an instance and an upstream in the same and in another failure domain.
 	sameDomainDelay  = 100 * time.Microsecond
 	crossDomainDelay = 900 * time.Microsecond
-	lossRate         = 0.0002
+	// lossRate is the share of packets that are lost on each hop.
+	lossRate = 0.0002
 )
 
-// Config is what a replay is built from.
+// Config holds the parameters of a replay.
 type Config struct {
-	// Pattern is the load.
+	// Pattern is the load pattern to simulate.
 	Pattern *Pattern
-	// Seed feeds every random choice.
+	// Seed initializes the random number generators of the simulation and of the decision engines.
 	Seed uint64
-	// Policy picks upstreams; nil for the product's own policy.
+	// Policy selects the upstream of a new flow; nil for the default policy.
 	Policy choose.Policy[place.Candidate[*roster.Upstream]]
-	// Disabled names decisions that are replaced by their simpler alternative.
+	// Disabled selects decisions that are replaced by simpler alternatives.
 	Disabled direct.Disabled
 }
 
-// simulation is one replay.
+// simulation is the state of a replay.
 type simulation struct {
-	cfg               Config
-	pattern           *Pattern
-	rng               *rand.Rand
-	now               model.Instant
-	queue             taskQueue
+	cfg     Config
+	pattern *Pattern
+	rng     *rand.Rand
+	now     model.Instant
+	queue   taskQueue
+	// lastSeq is the sequence number of the latest task.
 	lastSeq           uint64
 	instancesByDomain map[model.DomainID][]*instance
-	// instances holds all, in order.
+	// instances holds the instances of all failure domains in order of creation.
 	instances         []*instance
 	upstreams         []*upstream
 	upstreamsByNumber map[model.EndpointNumber]*upstream
-	// partitioned holds the failure domains that are cut off.
+	// partitioned holds the failure domains that are disconnected from the others and from the store.
 	partitioned map[model.DomainID]bool
 	// domainsOut holds the failure domains that operators have taken out.
 	domainsOut []model.DomainID
-	revision   model.Revision
+	// revision is the revision of the registry.
+	revision model.Revision
+	// loadFactor multiplies the request rate.
 	loadFactor float64
-	flowCount  uint32
-	result     *Result
+	// flowCount counts the flows opened so far; caller addresses are derived from it.
+	flowCount uint32
+	result    *Result
 }
 
-// task is one thing that is due.
+// task is a function scheduled at a point in virtual time.
 type task struct {
-	at  model.Instant
+	at model.Instant
+	// seq orders tasks with the same time in order of creation.
 	seq uint64
 	run func()
 }
 
+// taskQueue implements heap.Interface, ordered by time and sequence number.
 type taskQueue []task
 
 func (q taskQueue) Len() int { return len(q) }
@@ -80,7 +89,7 @@
 	return last
 }
 
-// serviceAddress is where callers of the one modelled service send; the two routes differ in what may be repeated.
+// The addresses of the two routes to the only service. Requests to streamAddress are idempotent, those to bookingAddress must run at most once.
 var (
 	streamAddress  = netip.MustParseAddrPort("198.18.0.1:443")
 	bookingAddress = netip.MustParseAddrPort("198.18.0.1:444")
@@ -88,7 +97,7 @@
 
 const serviceID model.ServiceID = "service"
 
-// Run plays the pattern and returns what its callers saw.
+// Run simulates the pattern and returns the outcomes of its requests.
 func Run(cfg Config) *Result {
 	s := &simulation{
 		cfg:               cfg,
@@ -117,37 +126,37 @@
 	for _, e := range s.pattern.Events {
 		s.after(e.At, func() { s.apply(e) })
 	}
-	// Every request is answered or given up by its deadline.
+	// Requests start before the end of the pattern and finish by their deadline; one second is left for the remaining packets.
 	end := model.Instant(s.pattern.Duration + s.pattern.Deadline + time.Second)
 	for len(s.queue) > 0 {
-		e := heap.Pop(&s.queue).(task)
-		if e.at > end {
+		next := heap.Pop(&s.queue).(task)
+		if next.at > end {
 			break
 		}
-		s.now = e.at
-		e.run()
+		s.now = next.at
+		next.run()
 	}
 	s.result.summarize(s.upstreams)
 	return s.result
 }
 
-// after lets something happen later.
+// after schedules run after a delay of d in virtual time.
 func (s *simulation) after(d time.Duration, run func()) {
 	s.lastSeq++
 	heap.Push(&s.queue, task{at: s.now.Add(d), seq: s.lastSeq, run: run})
 }
 
-// loadEnded reports whether callers ask no more.
+// loadEnded reports whether callers have stopped starting requests.
 func (s *simulation) loadEnded() bool {
 	return time.Duration(s.now) >= s.pattern.Duration
 }
 
-// connected reports whether two failure domains hear each other.
+// connected reports whether packets pass between two failure domains.
 func (s *simulation) connected(a, b model.DomainID) bool {
 	return a == b || (!s.partitioned[a] && !s.partitioned[b])
 }
 
-// networkDelay returns the time between an instance and an upstream.
+// networkDelay returns the one-way delay between an instance in domain a and an upstream in domain b.
 func networkDelay(a, b model.DomainID) time.Duration {
 	if a == b {
 		return sameDomainDelay
@@ -155,23 +164,23 @@
 	return crossDomainDelay
 }
 
-// dropPacket reports whether one packet is lost.
+// dropPacket decides at random whether a packet is lost.
 func (s *simulation) dropPacket() bool {
 	return s.rng.Float64() < lossRate
 }
 
-// logNormal returns a time around the mean that is sometimes much longer: lognormal with a sigma of a half.
+// logNormal returns a log-normally distributed duration with the given mean and a sigma of 0.5, as request times have a long tail.
 func (s *simulation) logNormal(mean time.Duration) time.Duration {
 	const sigma = 0.5
 	return time.Duration(float64(mean) * math.Exp(sigma*s.rng.NormFloat64()-sigma*sigma/2))
 }
 
-// randomPause returns a random pause with the mean.
+// randomPause returns an exponentially distributed pause with the given mean, divided by the load factor.
 func (s *simulation) randomPause(mean time.Duration) time.Duration {
 	return time.Duration(float64(mean) * s.rng.ExpFloat64() / s.loadFactor)
 }
 
-// apply lets an event of the pattern take place.
+// apply starts an event of the pattern and schedules its end.
 func (s *simulation) apply(e Event) {
 	switch e.Kind {
 	case EventCrash:
@@ -206,9 +215,10 @@
 	}
 }
 
+// replaceInterval is the time between the replacements of two upstreams.
 const replaceInterval = time.Second
 
-// pickUpstreams returns the upstreams that an event concerns.
+// pickUpstreams returns up to e.Count random upstreams that are up and not draining, in the domain of the event if it has one.
 func (s *simulation) pickUpstreams(e Event) []*upstream {
 	var pool []*upstream
 	for _, u := range s.upstreams {
@@ -220,7 +230,7 @@
 	return pool[:min(e.Count, len(pool))]
 }
 
-// registryChanged tells every instance of the registry as it is now, each a little later; a cut-off domain hears nothing.
+// registryChanged schedules a sync of the registry on every instance, each after its own random delay.
 func (s *simulation) registryChanged() {
 	s.revision++
 	for _, in := range s.instances {
@@ -228,7 +238,7 @@
 	}
 }
 
-// listing returns the registry as it is now.
+// listing returns the current content of the registry.
 func (s *simulation) listing() model.Listing[model.Registration] {
 	list := model.Listing[model.Registration]{Revision: s.revision}
 	for _, u := range s.upstreams {
@@ -239,7 +249,7 @@
 	return list
 }
 
-// routes returns the configuration, which never changes.
+// routes returns the route table, which is the same for the whole replay.
 func routes() model.RouteTable {
 	targets := []model.Target{{Service: serviceID, Weight: 1}}
 	return model.RouteTable{
--- a/internal/bench/replay/upstream.go
+++ b/internal/bench/replay/upstream.go
@@ -9,35 +9,41 @@
 )
 
 const (
-	// heartbeatExpiry is how long the entry of a silent upstream stays: three heartbeats of 1.2 s.
+	// heartbeatExpiry is the time after which the registry entry of a crashed upstream expires: three heartbeats of 1.2 s.
 	heartbeatExpiry = 3600 * time.Millisecond
-	// drainTime is how long an upstream that leaves goes on.
+	// drainTime is how long a draining upstream keeps running.
 	drainTime = 3500 * time.Millisecond
-	// coldStartTime is how long a new upstream is cold, and coldFactor how slow it is meanwhile.
+	// coldStartTime is the duration of a cold start, during which coldFactor multiplies the request time.
 	coldStartTime = 2 * time.Second
 	coldFactor    = 1.6
 )
 
-// upstream is one back end.
+// upstream simulates an upstream that executes requests in a fixed number of slots and queues the others.
 type upstream struct {
-	sim        *simulation
-	reg        model.Registration
+	sim *simulation
+	// reg is the registry entry of the upstream.
+	reg model.Registration
+	// timeFactor multiplies the request time.
 	timeFactor float64
-	// running is the number of requests in work; at most the pattern's slots.
+	// running is the number of requests being executed, at most the slots of the pattern.
 	running int
-	queue   []*callerFlow
-	// flows holds the open flows by caller.
+	// queue holds the flows whose request waits for a slot.
+	queue []*callerFlow
+	// flows holds the open flows by flow key.
 	flows map[model.FlowKey]*callerFlow
-	// halfOpen holds flows whose caller has not confirmed yet.
+	// halfOpen holds the flows whose handshake the caller has not completed.
 	halfOpen map[model.FlowKey]bool
-	// arrivals counts the requests that it took.
-	arrivals   int
-	down       bool
-	draining   bool
+	// arrivals counts the requests received, rejected ones included.
+	arrivals int
+	down     bool
+	draining bool
+	// registered is set while the registry holds reg.
 	registered bool
-	warmAt     model.Instant
+	// warmAt is the end of the cold start.
+	warmAt model.Instant
 }
 
+// addUpstream adds an upstream to a failure domain; coldFor is the duration of its cold start.
 func (s *simulation) addUpstream(d model.DomainID, coldFor time.Duration) {
 	n := model.EndpointNumber(len(s.upstreams) + 1)
 	timeFactor, err := strconv.ParseFloat(s.pattern.TimeFactors[len(s.upstreams)%len(s.pattern.TimeFactors)], 64)
@@ -61,7 +67,7 @@
 	s.upstreamsByNumber[n] = u
 }
 
-// crash silences the upstream for good.
+// crash stops the upstream permanently and removes its registry entry after heartbeatExpiry.
 func (u *upstream) crash() {
 	u.down = true
 	u.flows, u.halfOpen, u.queue = nil, nil, nil
@@ -71,7 +77,7 @@
 	})
 }
 
-// replace begins a cold upstream in the place of this one, which drains and ends.
+// replace starts a cold upstream in the same failure domain and stops this one after draining it.
 func (u *upstream) replace() {
 	u.sim.addUpstream(u.reg.Domain, coldStartTime)
 	u.draining = true
@@ -84,7 +90,7 @@
 	})
 }
 
-// handlePacket takes a packet that an instance sent on.
+// handlePacket handles a packet that an instance forwarded.
 func (u *upstream) handlePacket(seg model.Segment, f *callerFlow) {
 	if u.down {
 		return
@@ -109,7 +115,7 @@
 	}
 }
 
-// handleRequest takes a request, or confirms one that it has.
+// handleRequest acknowledges a request and executes, queues or rejects it. A retransmission is only acknowledged.
 func (u *upstream) handleRequest(f *callerFlow) {
 	u.reply(f.handleAck)
 	if f.acceptedBy == u {
@@ -127,6 +133,7 @@
 	}
 }
 
+// execute runs the request of a flow, then starts the next one in the queue.
 func (u *upstream) execute(f *callerFlow) {
 	u.running++
 	factor := u.timeFactor
@@ -149,7 +156,7 @@
 	})
 }
 
-// reply sends a packet to the caller that hears it, past all instances.
+// reply sends a packet directly to the caller, bypassing the instances, and calls deliver on arrival unless it is lost.
 func (u *upstream) reply(deliver func()) {
 	if !u.sim.dropPacket() {
 		u.sim.after(callerDelay, deliver)
--- a/internal/bench/replay/variant.go
+++ b/internal/bench/replay/variant.go
@@ -7,27 +7,27 @@
 	"hawthorncourse/internal/core/roster"
 )
 
-// Candidate is one upstream that a policy may pick.
+// Candidate is an upstream that a policy may choose.
 type Candidate = place.Candidate[*roster.Upstream]
 
-// Variant is the product, or the product with one decision replaced by a simpler one.
+// Variant is a configuration of the decision engine: the default one, or one with a decision disabled or another policy.
 type Variant struct {
 	Name     string
 	Policy   choose.Policy[Candidate]
 	Disabled direct.Disabled
 }
 
-// Running is the number of requests under way, which simpler policies go by.
+// Running returns the number of running requests of the candidate, which the simpler policies use as score.
 func Running(c Candidate) float64 {
 	return float64(c.Load.Running)
 }
 
-// expectedLatency is the answer time that is to be expected, without a preference for the own failure domain.
+// expectedLatency estimates the response time at the candidate. Unlike the default policy, it does not prefer the own failure domain.
 func expectedLatency(c Candidate) float64 {
 	return float64(c.Load.AnswerTime()) * (1 + Running(c))
 }
 
-// Variants returns the product first, then its alternatives.
+// Variants returns the default configuration, followed by its alternatives.
 func Variants() []Variant {
 	return []Variant{
 		{Name: "product"},
--- a/internal/bench/report/page.go
+++ b/internal/bench/report/page.go
@@ -11,12 +11,12 @@
 
 var page = template.Must(template.New("page").Funcs(template.FuncMap{"bars": bars}).Parse(pageText))
 
-// WritePage writes runs as a page with plots.
+// WritePage writes runs as an HTML page with plots.
 func WritePage(w io.Writer, runs []Run) error {
 	return page.Execute(w, runs)
 }
 
-// Bar is one bar of a plot.
+// Bar is a bar of a plot with its label and value; the template reads its fields. Coordinates are in pixels of the SVG image.
 type Bar struct {
 	Label         string
 	Y, Width      float64
@@ -24,6 +24,7 @@
 	TextX, LabelY float64
 }
 
+// Layout of the plots, in pixels.
 const (
 	barHeight   = 24
 	barStart    = 140
@@ -32,7 +33,7 @@
 	baseline    = 15
 )
 
-// bars returns the plot of one figure of each phase.
+// bars returns a bar per phase for the figure "broken" (broken flows) or "imbalance".
 func bars(phases []Phase, figure string) []Bar {
 	highest := 1.0
 	value := func(p Phase) float64 {
--- a/internal/bench/report/report.go
+++ b/internal/bench/report/report.go
@@ -1,4 +1,4 @@
-// Package report holds what an experiment measured, as data and as a page with plots.
+// Package report holds the measurements of experiments and writes them as JSON, as text and as an HTML page with plots.
 package report
 
 import (
@@ -9,18 +9,18 @@
 	"slices"
 )
 
-// Count is one counter.
+// Count is a named counter value.
 type Count struct {
 	Name  string `json:"name"`
 	Value int64  `json:"value"`
 }
 
-// String returns the counter as one word.
+// String formats the counter as name:value.
 func (c Count) String() string {
 	return fmt.Sprintf("%s:%d", c.Name, c.Value)
 }
 
-// Counts returns counters by name.
+// Counts converts a map to counters, sorted by name.
 func Counts(m map[string]int) []Count {
 	out := make([]Count, 0, len(m))
 	for name, n := range m {
@@ -34,13 +34,14 @@
 	slices.SortFunc(list, func(a, b Count) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Quantile is one percentile of the latency.
+// Quantile is a percentile of the latency in microseconds.
 type Quantile struct {
 	Percent float64 `json:"percent"`
 	Micros  int64   `json:"micros"`
 }
 
-// Phase is what was measured while one event took effect.
+// Phase holds the measurements during an event. Imbalance is the ratio of the highest to the mean busy time of the upstreams;
+// Bookings counts the bookings completed in the phase by outcome.
 type Phase struct {
 	Name        string  `json:"name"`
 	Planned     bool    `json:"planned"`
@@ -50,12 +51,13 @@
 	Bookings    []Count `json:"bookings"`
 }
 
-// SortBookings brings the counters in order.
+// SortBookings sorts the booking counters by name.
 func (p *Phase) SortBookings() {
 	sortCounts(p.Bookings)
 }
 
-// Run is one experiment.
+// Run holds the results of an experiment. Refused counts the requests that were not done, by outcome and response text;
+// Breaches lists the violated invariants.
 type Run struct {
 	Setup    string     `json:"setup"`
 	Seed     uint64     `json:"seed"`
@@ -66,14 +68,14 @@
 	Breaches []string   `json:"breaches"`
 }
 
-// WriteJSON writes runs as data.
+// WriteJSON writes runs as indented JSON.
 func WriteJSON(w io.Writer, runs []Run) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "\t")
 	return enc.Encode(runs)
 }
 
-// WriteText writes runs for a terminal.
+// WriteText writes runs as plain text for a terminal.
 func WriteText(w io.Writer, runs []Run) {
 	for _, r := range runs {
 		fmt.Fprintf(w, "\n%s, seed %d\n", r.Setup, r.Seed)
@@ -90,7 +92,7 @@
 			fmt.Fprintf(w, "  counter %-32s %d\n", c.Name, c.Value)
 		}
 		for _, b := range r.Breaches {
-			fmt.Fprintf(w, "  BROKEN PROMISE %s\n", b)
+			fmt.Fprintf(w, "  INVARIANT VIOLATED %s\n", b)
 		}
 	}
 }
--- a/internal/bench/report/report_test.go
+++ b/internal/bench/report/report_test.go
@@ -12,7 +12,7 @@
 	"hawthorncourse/internal/bench/report"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "overwrite the golden files with the current output")
 
 func sample() []report.Run {
 	return []report.Run{{
@@ -25,7 +25,7 @@
 	}}
 }
 
-// TestWrite compares each form of a report with its golden file.
+// TestWrite compares each output format of a report with its golden file.
 func TestWrite(t *testing.T) {
 	cases := map[string]func(io.Writer, []report.Run) error{
 		"report.json": report.WriteJSON,
--- a/internal/bench/tools/balance.go
+++ b/internal/bench/tools/balance.go
@@ -12,7 +12,7 @@
 	"hawthorncourse/internal/stand/caller"
 )
 
-// balanceCommand compares policies on upstreams of different speed.
+// balanceCommand compares balancing policies on upstreams of different speed.
 type balanceCommand struct {
 	policies string
 	seconds  int
@@ -21,26 +21,26 @@
 	seed     uint64
 }
 
-// newBalance returns the command.
 func newBalance() *command {
 	c := &balanceCommand{}
 	return &command{
 		name:     "balance",
-		synopsis: "compare policies on upstreams of different speed",
-		usage:    "[-policies LIST] [-seconds N]\n  Print imbalance and latency for each policy in turn.",
+		synopsis: "compare balancing policies on upstreams of different speed",
+		usage:    "[-policies LIST] [-seconds N]\n  Print the imbalance and the latency of each policy.",
 		flags:    c.setFlags,
 		run:      c.run,
 	}
 }
 
+// balanceWarmUpTime is the time under load before the measurement starts.
 const balanceWarmUpTime = 8 * time.Second
 
 func (c *balanceCommand) setFlags(f *flag.FlagSet) {
-	f.StringVar(&c.policies, "policies", "utilisation,completion,random,roundRobin", "policies to compare")
-	f.IntVar(&c.seconds, "seconds", 10, "seconds to measure each for")
-	f.IntVar(&c.bookers, "bookers", 10, "callers of each service that book")
-	f.IntVar(&c.readers, "readers", 6, "callers of each service that read")
-	f.Uint64Var(&c.seed, "seed", 1, "seed of every random choice")
+	f.StringVar(&c.policies, "policies", "utilisation,completion,random,roundRobin", "comma-separated list of policies to compare")
+	f.IntVar(&c.seconds, "seconds", 10, "seconds to measure each policy for")
+	f.IntVar(&c.bookers, "bookers", 10, "callers of each service that send bookings")
+	f.IntVar(&c.readers, "readers", 6, "callers of each service that send reads")
+	f.Uint64Var(&c.seed, "seed", 1, "seed of all random number generators")
 }
 
 func (c *balanceCommand) run(ctx context.Context) error {
@@ -53,6 +53,7 @@
 	return nil
 }
 
+// measure prints the results of a policy.
 func (c *balanceCommand) measure(ctx context.Context, f *fleet.Fleet, policy string) error {
 	if err := f.AwaitUsableSlots(ctx, len(f.Upstreams)); err != nil {
 		return err
--- a/internal/bench/tools/demo.go
+++ b/internal/bench/tools/demo.go
@@ -14,7 +14,7 @@
 	"hawthorncourse/internal/bench/report"
 )
 
-// demoCommand runs both set-ups.
+// demoCommand runs the demo on one or both set-ups and writes its report.
 type demoCommand struct {
 	setup                     string
 	out                       string
@@ -22,13 +22,12 @@
 	seed                      uint64
 }
 
-// newDemo returns the command.
 func newDemo() *command {
 	c := &demoCommand{}
 	return &command{
 		name:     "demo",
-		synopsis: "run both users' set-ups through a day's events",
-		usage:    "[-setup regie|ikirere|both] [-out DIR]\n  Exit with 1 if a promise broke.",
+		synopsis: "run the users' set-ups through the operations and faults of a day",
+		usage:    "[-setup regie|ikirere|both] [-out DIR]\n  Exit with status 1 if an invariant was violated.",
 		flags:    c.setFlags,
 		run:      c.run,
 	}
@@ -42,27 +41,27 @@
 
 func (c *demoCommand) setFlags(f *flag.FlagSet) {
 	f.StringVar(&c.setup, "setup", "both", "set-up to run: regie, ikirere or both")
-	f.StringVar(&c.out, "out", "out", "folder for report.json, report.html and the instances' logs")
-	f.IntVar(&c.streams, "streams", demoStreams, "streams of each service")
-	f.IntVar(&c.bookers, "bookers", demoBookers, "callers of each service that book")
-	f.IntVar(&c.readers, "readers", demoReaders, "callers of each service that read")
-	f.Uint64Var(&c.seed, "seed", 1, "seed of every random choice")
+	f.StringVar(&c.out, "out", "out", "folder for report.json, report.html and the logs of the instances")
+	f.IntVar(&c.streams, "streams", demoStreams, "callers of each service that keep a stream open")
+	f.IntVar(&c.bookers, "bookers", demoBookers, "callers of each service that send bookings")
+	f.IntVar(&c.readers, "readers", demoReaders, "callers of each service that send reads")
+	f.Uint64Var(&c.seed, "seed", 1, "seed of all random number generators")
 }
 
-// setups maps the words of the command line to set-ups.
+// setups maps the values of the -setup flag to set-ups.
 var setups = map[string][]fleet.Setup{
 	"regie":   {fleet.Regie()},
 	"ikirere": {fleet.Ikirere()},
 	"both":    {fleet.Regie(), fleet.Ikirere()},
 }
 
-// errViolation means that something that must always hold did not.
-var errViolation = eris.New("a promise broke")
+// errViolation is returned if a run has violated an invariant; the report lists the violations.
+var errViolation = eris.New("an invariant was violated; see the report")
 
 func (c *demoCommand) run(ctx context.Context) error {
 	list := setups[c.setup]
 	if list == nil {
-		return eris.Errorf("%q is not a set-up; name regie, ikirere or both", c.setup)
+		return eris.Errorf("unknown set-up %q; must be regie, ikirere or both", c.setup)
 	}
 	var runs []report.Run
 	for _, setup := range list {
--- a/internal/bench/tools/flows.go
+++ b/internal/bench/tools/flows.go
@@ -14,36 +14,38 @@
 	"hawthorncourse/internal/wire/frame"
 )
 
-// flowsCommand measures control under many new opaque flows and while membership changes.
+// flowsCommand measures the control traffic of instances under many new opaque flows and during a change of membership.
 type flowsCommand struct {
 	rate    int
 	seconds int
 	seed    uint64
 }
 
-// newFlows returns the command.
 func newFlows() *command {
 	c := &flowsCommand{}
 	return &command{
 		name:     "flows",
-		synopsis: "measure control under many new opaque flows",
-		usage:    "[-rate N] [-seconds N]\n  Print bytes and processor time a node at rest, under new flows, and while an instance joins.",
+		synopsis: "measure the control traffic under many new opaque flows",
+		usage:    "[-rate N] [-seconds N]\n  Print control bytes, CPU time and memory per instance without load, under new flows and while an instance joins.",
 		flags:    c.setFlags,
 		run:      c.run,
 	}
 }
 
 func (c *flowsCommand) setFlags(f *flag.FlagSet) {
-	f.IntVar(&c.rate, "rate", 2000, "new flows a second for each instance")
+	f.IntVar(&c.rate, "rate", 2000, "new flows per second and instance")
 	f.IntVar(&c.seconds, "seconds", 10, "seconds to measure each phase for")
-	f.Uint64Var(&c.seed, "seed", 1, "seed of every random choice")
+	f.Uint64Var(&c.seed, "seed", 1, "seed of all random number generators")
 }
 
 const (
-	flowWarmUpTime   = 12 * time.Second
+	// flowWarmUpTime is the time before each of the first two measurements.
+	flowWarmUpTime = 12 * time.Second
+	// flowSendInterval is the interval between bursts of new flows.
 	flowSendInterval = 5 * time.Millisecond
-	packetsPerFlow   = 2
-	firstFlowPort    = 1024
+	// packetsPerFlow is the number of packets of each flow, sent to independently chosen instances.
+	packetsPerFlow = 2
+	firstFlowPort  = 1024
 )
 
 func (c *flowsCommand) run(ctx context.Context) error {
@@ -53,7 +55,7 @@
 	return withFleet(ctx, cfg, func(f *fleet.Fleet) error { return c.measure(ctx, f, setup.Domains[0]) })
 }
 
-// measure goes through the phases.
+// measure runs the three phases.
 func (c *flowsCommand) measure(ctx context.Context, f *fleet.Fleet, domain model.DomainID) error {
 	time.Sleep(flowWarmUpTime)
 	if err := c.measurePhase(ctx, f, "at rest"); err != nil {
@@ -72,7 +74,7 @@
 	return c.measurePhase(ctx, f, "instance joins")
 }
 
-// measurePhase prints what the first instances spend in one phase.
+// measurePhase prints the resource usage of the initial instances during a phase.
 func (c *flowsCommand) measurePhase(ctx context.Context, f *fleet.Fleet, name string) error {
 	instances := f.Instances[:f.InstanceCount()]
 	before, err := readUsage(ctx, f, instances)
@@ -91,7 +93,7 @@
 	return nil
 }
 
-// sendNewFlows sends the first packets of new flows to random instances as the fabric would, at an even rate.
+// sendNewFlows sends the first packets of new flows to random instances, as the fabric would, at a constant rate until ctx is done.
 func (c *flowsCommand) sendNewFlows(ctx context.Context, f *fleet.Fleet) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(f.CallerIP(), 0)))
 	if err != nil {
--- a/internal/bench/tools/replay.go
+++ b/internal/bench/tools/replay.go
@@ -12,7 +12,7 @@
 	"hawthorncourse/internal/bench/replay"
 )
 
-// replayCommand plays load patterns against the decisions of direct flows.
+// replayCommand simulates load patterns against the decision engine for direct flows.
 type replayCommand struct {
 	patterns string
 	variants string
@@ -20,23 +20,22 @@
 	seeds    int
 }
 
-// newReplay returns the command.
 func newReplay() *command {
 	c := &replayCommand{}
 	return &command{
 		name:     "replay",
-		synopsis: "play load patterns against the decisions, in virtual time",
-		usage:    "[-patterns LIST] [-variants LIST] [-file PATTERN.json] [-seeds N]\n  Print what callers of each pattern see, with the product's decisions and with simpler ones.",
+		synopsis: "simulate load patterns against the decision engine in virtual time",
+		usage:    "[-patterns LIST] [-variants LIST] [-file PATTERN.json] [-seeds N]\n  Print the request outcomes of each pattern, with the default decisions and with simpler ones.",
 		flags:    c.setFlags,
 		run:      c.run,
 	}
 }
 
 func (c *replayCommand) setFlags(f *flag.FlagSet) {
-	f.StringVar(&c.patterns, "patterns", "", "patterns to play; all if empty")
-	f.StringVar(&c.variants, "variants", "", "variants to compare; all if empty")
-	f.StringVar(&c.file, "file", "", "a pattern of your own in place of the recorded ones")
-	f.IntVar(&c.seeds, "seeds", 4, "seeds to play each with")
+	f.StringVar(&c.patterns, "patterns", "", "comma-separated list of patterns to simulate; all if empty")
+	f.StringVar(&c.variants, "variants", "", "comma-separated list of variants to compare; all if empty")
+	f.StringVar(&c.file, "file", "", "JSON file with a pattern to simulate instead of the built-in ones")
+	f.IntVar(&c.seeds, "seeds", 4, "number of seeds to simulate each pattern and variant with")
 }
 
 func (c *replayCommand) run(ctx context.Context) error {
@@ -60,7 +59,7 @@
 		}
 	}
 	if runs == 0 {
-		return eris.New("no pattern and variant of these names")
+		return eris.New("no pattern and variant match -patterns and -variants")
 	}
 	return nil
 }
@@ -84,7 +83,7 @@
 	}
 }
 
-// inList reports whether a list of names, or an empty one, holds the name.
+// inList reports whether a comma-separated list contains name. An empty list contains every name.
 func inList(list, name string) bool {
 	if list == "" {
 		return true
--- a/internal/bench/tools/slopes.go
+++ b/internal/bench/tools/slopes.go
@@ -16,7 +16,7 @@
 	"hawthorncourse/internal/oper/change"
 )
 
-// slopesCommand measures what one node spends on control, against the number of peers and of upstreams.
+// slopesCommand measures the resources that an instance spends on control traffic, by the number of instances and of upstreams.
 type slopesCommand struct {
 	instanceCounts  string
 	absentUpstreams string
@@ -27,13 +27,12 @@
 	seed            uint64
 }
 
-// newSlopes returns the command.
 func newSlopes() *command {
 	c := &slopesCommand{}
 	return &command{
 		name:     "slopes",
-		synopsis: "measure what a node spends on control",
-		usage:    "[-peers LIST] [-ghosts LIST] [-changes N] [-load]\n  Print bytes, processor time and memory a node for each pair of sizes.",
+		synopsis: "measure how the control traffic grows with instances and upstreams",
+		usage:    "[-peers LIST] [-ghosts LIST] [-changes N] [-load]\n  Print control bytes, CPU time and memory per instance for each pair of sizes.",
 		flags:    c.setFlags,
 		run:      c.run,
 	}
@@ -41,17 +40,18 @@
 
 const (
 	slopeThinkTime = 2 * time.Millisecond
-	slopeCallers   = 20
+	// slopeCallers is the number of callers of each type and service when -load is given.
+	slopeCallers = 20
 )
 
 func (c *slopesCommand) setFlags(f *flag.FlagSet) {
-	f.StringVar(&c.instanceCounts, "peers", "7,14,28,56,112", "numbers of instances")
-	f.StringVar(&c.absentUpstreams, "ghosts", "0", "numbers of further upstreams in the document")
-	f.IntVar(&c.seconds, "seconds", 10, "seconds to measure each for")
-	f.DurationVar(&c.settleTime, "settle", 10*time.Second, "time to let the first news pass before measuring")
-	f.IntVar(&c.changes, "changes", 0, "changes of the document while measuring")
-	f.BoolVar(&c.load, "load", false, "let callers work while measuring")
-	f.Uint64Var(&c.seed, "seed", 1, "seed of every random choice")
+	f.StringVar(&c.instanceCounts, "peers", "7,14,28,56,112", "comma-separated list of numbers of instances")
+	f.StringVar(&c.absentUpstreams, "ghosts", "0", "comma-separated list of numbers of additional upstreams in the document, which do not exist")
+	f.IntVar(&c.seconds, "seconds", 10, "seconds to measure each pair of sizes for")
+	f.DurationVar(&c.settleTime, "settle", 10*time.Second, "time before the measurement in which the initial state spreads to all instances")
+	f.IntVar(&c.changes, "changes", 0, "number of document changes during the measurement")
+	f.BoolVar(&c.load, "load", false, "generate load during the measurement")
+	f.Uint64Var(&c.seed, "seed", 1, "seed of all random number generators")
 }
 
 func (c *slopesCommand) run(ctx context.Context) error {
@@ -77,6 +77,7 @@
 	return nil
 }
 
+// parseNumbers parses a comma-separated list of integers.
 func parseNumbers(list string) ([]int, error) {
 	var out []int
 	for _, item := range strings.Split(list, ",") {
@@ -89,19 +90,29 @@
 	return out, nil
 }
 
-// resourceUsage is what all nodes used up so far.
+// resourceUsage is the cumulative resource usage of several instances. bytesIn and bytesOut count control traffic, cpu is in seconds,
+// rss is the current memory in bytes and platformCalls counts calls of the platform's API.
 type resourceUsage struct {
 	bytesIn, bytesOut int64
 	cpu               float64
 	rss               int
 	platformCalls     int
-	// forwards counts packets sent to upstreams.
+	// forwards counts packets forwarded to upstreams.
 	forwards int64
 }
 
+// measure starts the load if requested, waits for settleTime and runs the measurement.
 func (c *slopesCommand) measure(ctx context.Context, f *fleet.Fleet, absentUpstreams int) error {
 	if c.load {
-		load, err := drive.Start(drive.Config{Fleet: f, Streams: slopeCallers, Bookers: slopeCallers, Readers: slopeCallers, ThinkTime: slopeThinkTime, RefreshInterval: time.Second, Seed: c.seed})
+		load, err := drive.Start(drive.Config{
+			Fleet:           f,
+			Streams:         slopeCallers,
+			Bookers:         slopeCallers,
+			Readers:         slopeCallers,
+			ThinkTime:       slopeThinkTime,
+			RefreshInterval: time.Second,
+			Seed:            c.seed,
+		})
 		if err != nil {
 			return err
 		}
@@ -111,6 +122,7 @@
 	return c.measureUsage(ctx, f, f.InstanceCount(), absentUpstreams)
 }
 
+// measureUsage prints the resource usage per instance during the measurement.
 func (c *slopesCommand) measureUsage(ctx context.Context, f *fleet.Fleet, instances, absentUpstreams int) error {
 	before, err := readUsage(ctx, f, f.Instances)
 	if err != nil {
@@ -136,7 +148,7 @@
 	return nil
 }
 
-// editDocument edits the document a few times and returns the longest time until one was in force everywhere.
+// editDocument submits the requested number of document changes and returns the longest time until all instances had applied one.
 func (c *slopesCommand) editDocument(ctx context.Context, f *fleet.Fleet) (slowest time.Duration, err error) {
 	for n := range c.changes {
 		started := time.Now()
@@ -154,7 +166,7 @@
 	return slowest, nil
 }
 
-// readUsage adds up what the instances used so far.
+// readUsage returns the total resource usage of the instances since their start.
 func readUsage(ctx context.Context, f *fleet.Fleet, instances []*fleet.Instance) (u resourceUsage, err error) {
 	for _, in := range instances {
 		w, err := in.Status(ctx)
--- a/internal/bench/tools/tools.go
+++ b/internal/bench/tools/tools.go
@@ -1,4 +1,4 @@
-// Package tools holds the commands of the load and experiment tool.
+// Package tools implements the commands of hawthornbench, the tool for load tests and experiments.
 package tools
 
 import (
@@ -16,7 +16,7 @@
 	"hawthorncourse/internal/bench/fleet"
 )
 
-// Register adds every command.
+// Register registers all commands.
 func Register(c *subcommands.Commander) {
 	c.Register(c.HelpCommand(), "")
 	c.Register(c.CommandsCommand(), "")
@@ -25,7 +25,7 @@
 	}
 }
 
-// command is one experiment as a command.
+// command is a command that runs an experiment.
 type command struct {
 	name, synopsis, usage string
 	flags                 func(*flag.FlagSet)
@@ -53,7 +53,7 @@
 	return subcommands.ExitSuccess
 }
 
-// withFleet runs an experiment on a fleet that has the document in force, and ends the fleet.
+// withFleet starts a fleet, waits until all instances have applied the document, calls run and closes the fleet.
 func withFleet(ctx context.Context, cfg fleet.Config, run func(*fleet.Fleet) error) (err error) {
 	dir, err := os.MkdirTemp("", "hawthornbench")
 	if err != nil {
@@ -77,13 +77,15 @@
 	return run(f)
 }
 
+// startTimeout is the maximum time until all instances have applied the document.
 const startTimeout = 2 * time.Minute
 
-// entryBinary returns the path of the program of the entry processes: the one beside this program, or one built into dir.
+// entryBinary returns the path of the hawthorncourse program that the entry processes run: the one in the folder of this executable,
+// or else one compiled into dir.
 func entryBinary(ctx context.Context, dir string) (path string, err error) {
 	defer func() {
 		if err != nil {
-			err = eris.Wrap(err, "find the program of the entry processes")
+			err = eris.Wrap(err, "find the hawthorncourse program")
 		}
 	}()
 	self, err := os.Executable()
