--- a/internal/core/bind/bind_test.go
+++ b/internal/core/bind/bind_test.go
@@ -34,6 +34,7 @@
 	testBinding = bind.Binding{Use: bind.UseStream, Upstream: 7, Boot: 8, Issuer: 9, Serial: 10, Expiry: 11}
 )
 
+// TestVerify checks that a binding is accepted for its own flow only, and as long as its key is one of the two valid ones.
 func TestVerify(t *testing.T) {
 	raw, _ := newSigner(newKeys(1, 2, 1)).Sign(testFlow, testBinding)
 	truncated := raw[:len(raw)-1]
@@ -70,6 +71,7 @@
 	}
 }
 
+// TestKeysNeverRevert checks that SetKeys ignores keys of an earlier version.
 func TestKeysNeverRevert(t *testing.T) {
 	is := is.New(t)
 	s := newSigner(newKeys(2, 2))
@@ -77,7 +79,7 @@
 	is.Equal(s.NewestEpoch(), model.Epoch(2))
 }
 
-func TestSealWithoutKeys(t *testing.T) {
+func TestSignWithoutKeys(t *testing.T) {
 	is := is.New(t)
 	_, ok := (&bind.Signer{}).Sign(testFlow, testBinding)
 	is.True(!ok)
--- a/internal/core/choose/choose_test.go
+++ b/internal/core/choose/choose_test.go
@@ -40,6 +40,7 @@
 	}
 }
 
+// TestRetryBudget checks that a new budget of 10 % allows the burst of 10 retries, and 100 first attempts another 10 at most.
 func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
 	b := choose.RetryBudget{Percent: 10}
--- a/internal/core/engine/answer.go
+++ b/internal/core/engine/answer.go
@@ -33,7 +33,7 @@
 	return e.actions
 }
 
-// confirmBoot takes an answer as proof that the upstream runs as boot and releases the packets that waited for this proof.
+// confirmBoot records that an answer confirms the upstream's boot and reprocesses the packets that were parked until then.
 func (e *Engine) confirmBoot(now model.Instant, up *upstream, boot model.BootID) {
 	if up.confirm(now, boot) {
 		e.updateUrgent = true
@@ -180,7 +180,7 @@
 	e.emit(model.Action{Verb: model.VerbDeliver, Answer: a, Raw: a.Raw, Binding: binding})
 }
 
-// deliverAtHome delivers an answer that a peer handed to this instance, the flow's home, and expects its acknowledgement.
+// deliverAtHome delivers an answer that a peer handed off to this instance, the flow's home, and expects its acknowledgement.
 func (e *Engine) deliverAtHome(now model.Instant, a *model.Answer, up *upstream) {
 	if !e.pendingReplies.Put(now, replyKey{flow: a.Flow, messageID: a.MessageID}, up) {
 		e.countReason(model.ReasonFlowLimit)
--- a/internal/core/engine/assignment.go
+++ b/internal/core/engine/assignment.go
@@ -4,7 +4,7 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// FlowAssignment tells one peer to which upstream a flow is assigned.
+// FlowAssignment informs one peer of the upstream that a flow is assigned to.
 type FlowAssignment struct {
 	Peer     model.InstanceID
 	Flow     model.FlowKey
--- a/internal/core/engine/bench_test.go
+++ b/internal/core/engine/bench_test.go
@@ -131,14 +131,14 @@
 		for _, flows := range []int{10_000, 100_000, 300_000} {
 			b.Run(fmt.Sprintf("%s/%d", name, flows), func(b *testing.B) {
 				for b.Loop() {
-					b.ReportMetric(bytesEach(b, kind, flows), "B/flow")
+					b.ReportMetric(bytesPerFlow(b, kind, flows), "B/flow")
 				}
 			})
 		}
 	}
 }
 
-func bytesEach(b *testing.B, kind model.Kind, flows int) float64 {
+func bytesPerFlow(b *testing.B, kind model.Kind, flows int) float64 {
 	e, doc, now := benchEngine(b, kind)
 	before := heap()
 	for n := range flows {
--- a/internal/core/engine/engine.go
+++ b/internal/core/engine/engine.go
@@ -3,8 +3,8 @@
 //
 // An upstream has a number of slots, each owned by one instance. The owner of an upstream's first slot is the upstream's primary: it alone
 // sends to the upstream during a cold start or while no recent answer confirms that the upstream has not restarted. The home of a flow is
-// the instance that rendezvous hashing ranks first for the flow's addresses; any instance can compute it without coordination. A boot is
-// one start of a process. A bound packet carries a binding, a signed token that names the upstream of a stream or the issuer of a request
+// the instance that rendezvous hashing ranks first for the flow's addresses; any instance can compute it without coordination. The boot of
+// an upstream is the boot ID of its current run. A bound packet carries a binding, a signed token that names the upstream of a stream or the issuer of a request
 // that must run at most once; see package bind.
 package engine
 
@@ -47,20 +47,20 @@
 	members []model.Member
 	// orphaned marks the failure domains without a live instance, whose slots instances of other domains may own.
 	orphaned map[model.DomainID]bool
-	// homes holds every member that accepts new packets, including this instance unless it is stopping.
+	// homes holds every member that accepts new packets, including this instance unless it is shutting down.
 	homes []rendez.Candidate[model.InstanceID]
-	// homesAndLeaving holds homes and the instances in a planned stop, which may still hold the assignment of a flow.
+	// homesAndLeaving holds homes and the instances in a graceful shutdown, which may still hold the assignment of a flow.
 	homesAndLeaving []rendez.Candidate[model.InstanceID]
 	// issuers maps the issuer tags of all instances that are not dead.
 	issuers map[model.IssuerTag]model.InstanceID
-	// partitioned marks the dead issuers whose whole failure domain is dead: a network partition may hide them while they still run.
+	// partitioned marks the dead issuers whose whole failure domain is dead: they may still be running behind a network partition.
 	partitioned map[model.IssuerTag]bool
 	// peerLoads holds the utilisation that each peer last reported, by service.
 	peerLoads map[loadKey]float64
 
 	// ownership holds the owner of each slot.
 	ownership *units.Table
-	// successors is the ownership without this instance; it is empty until the planned stop starts.
+	// successors is the ownership without this instance; it is empty until the graceful shutdown starts.
 	successors      *units.Table
 	signer          bind.Signer
 	ledger          *once.Ledger
@@ -78,12 +78,12 @@
 	finished finishedQueue
 
 	lastStep model.Instant
-	// topologyChangedAt is when the document or the members changed, or this instance's planned stop started, whichever was last; zero for never.
+	// topologyChangedAt is when the document or the members last changed or this instance's graceful shutdown started; zero for never.
 	topologyChangedAt model.Instant
 	// peersContacted is set once this instance has contacted every instance that the platform lists, so that homesAndLeaving is complete.
 	peersContacted bool
-	// stopStartedAt is when the planned stop started; zero if it has not.
-	stopStartedAt model.Instant
+	// shutdownStartedAt is when the graceful shutdown started; zero if it has not.
+	shutdownStartedAt model.Instant
 	// updateUrgent is set while PeerUpdates should be sent without waiting for the next interval.
 	updateUrgent bool
 	// actions and candidates are buffers that are reused from call to call.
@@ -91,7 +91,7 @@
 	candidates []Candidate
 }
 
-// New returns an engine that refuses every packet until it has a document, keys and members.
+// New returns an engine without a document, keys and peers. Until SetDocument, it refuses every packet, or drops it if it carries a binding.
 func New(cfg Config) *Engine {
 	e := &Engine{
 		cfg:             cfg,
@@ -151,21 +151,21 @@
 	e.peersContacted = true
 }
 
-// Stop starts the planned stop: new requests go to peers, and requests bound to this instance are completed.
+// Stop starts the graceful shutdown: new requests go to peers, and requests bound to this instance are completed.
 func (e *Engine) Stop(now model.Instant) {
 	e.beginStep(now)
-	if e.stopStartedAt == 0 {
-		e.stopStartedAt = max(now, 1)
+	if e.shutdownStartedAt == 0 {
+		e.shutdownStartedAt = max(now, 1)
 		e.indexMembers()
 		e.queueDisplacedFlows(now)
 		e.updateOwnership(now)
 	}
 }
 
-// Stopped reports whether the planned stop is complete: no request is running, and the longest time for which a caller may still depend on
+// Stopped reports whether the graceful shutdown is complete: no request is running, and the longest time for which a caller may still depend on
 // this instance has passed.
 func (e *Engine) Stopped(now model.Instant) bool {
-	if e.stopStartedAt == 0 {
+	if e.shutdownStartedAt == 0 {
 		return false
 	}
 	if e.doc == nil {
@@ -175,7 +175,7 @@
 	for _, s := range e.services {
 		wait = max(wait, s.cfg.RefreshInterval+s.cfg.RequestTimeout)
 	}
-	return now.Sub(e.stopStartedAt) >= wait+e.doc.Timing.Detection && e.running() == 0
+	return now.Sub(e.shutdownStartedAt) >= wait+e.doc.Timing.Detection && e.running() == 0
 }
 
 // Version returns the version of the current document, or zero if there is none.
@@ -186,7 +186,7 @@
 	return e.doc.Version
 }
 
-// beginStep starts one call into the engine. A gap of half the detection time since the last call means that the process was paused:
+// beginStep starts one call into the engine. A gap of half the detection time since the last call means that the process stalled:
 // peers may have taken over its slots, so every slot is treated as newly gained and every upstream as unconfirmed.
 func (e *Engine) beginStep(now model.Instant) {
 	e.actions = e.actions[:0]
@@ -209,7 +209,7 @@
 		return
 	}
 	e.ownership.Update(now, units.Inputs{Document: e.doc, Members: e.ownershipMembers(now), Orphaned: e.orphaned})
-	if e.stopStartedAt != 0 {
+	if e.shutdownStartedAt != 0 {
 		e.successors.Update(now, units.Inputs{Document: e.doc, Members: e.otherMembers(), Orphaned: e.orphaned})
 	}
 	for _, s := range e.services {
@@ -222,14 +222,14 @@
 	return slices.DeleteFunc(slices.Clone(e.members), func(m model.Member) bool { return m.ID == e.cfg.Self.ID })
 }
 
-// ownershipMembers returns the members from which ownership is computed: a stopping instance keeps its slots for the detection time, until
-// its peers have noticed the stop.
+// ownershipMembers returns the members from which ownership is computed: an instance that is shutting down keeps its slots for the detection
+// time, until its peers have noticed the shutdown.
 func (e *Engine) ownershipMembers(now model.Instant) []model.Member {
 	members := make([]model.Member, 0, len(e.members))
 	for _, m := range e.members {
 		if m.ID == e.cfg.Self.ID {
 			m.State = model.MemberAlive
-			if e.stopStartedAt != 0 && now.Sub(e.stopStartedAt) > e.doc.Timing.Detection {
+			if e.shutdownStartedAt != 0 && now.Sub(e.shutdownStartedAt) > e.doc.Timing.Detection {
 				m.State = model.MemberLeaving
 			}
 		}
@@ -256,7 +256,7 @@
 		e.issuers[m.Tag()] = m.ID
 		c := rendez.NewCandidate(string(m.ID), m.ID)
 		e.homesAndLeaving = append(e.homesAndLeaving, c)
-		if m.State != model.MemberLeaving && (m.ID != e.cfg.Self.ID || e.stopStartedAt == 0) {
+		if m.State != model.MemberLeaving && (m.ID != e.cfg.Self.ID || e.shutdownStartedAt == 0) {
 			e.homes = append(e.homes, c)
 		}
 	}
@@ -295,6 +295,7 @@
 }
 
 const (
+	// retryAfter is how long a refused caller should wait before it retries.
 	retryAfter = time.Second
 	// flowSettleTime is how long peers may take to receive the assignments of flows whose home is now theirs.
 	flowSettleTime = 30 * time.Second
--- a/internal/core/engine/engine_test.go
+++ b/internal/core/engine/engine_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestWorld runs instances, upstreams and callers in random order, with lost and repeated messages, crashes, pauses and membership changes.
-// The world fails the test if a booking runs twice, if one runs that was refused as not run, or if an upstream gets more requests during a
+// The simulation fails the test if a booking runs twice, if one runs that was refused as not run, or if an upstream gets more requests during a
 // cold start than it allows.
 func TestWorld(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -43,14 +43,14 @@
 					Raw:    []byte("read"),
 				})
 			},
-			"deliver": func(t *rapid.T) { w.deliverSome(t, true) },
-			"double":  func(t *rapid.T) { w.deliverSome(t, false) },
+			"deliver":   func(t *rapid.T) { w.deliverSome(t, true) },
+			"duplicate": func(t *rapid.T) { w.deliverSome(t, false) },
 			"lose": func(t *rapid.T) {
 				if len(w.messages) > 0 {
 					w.removeMessage(rapid.IntRange(0, len(w.messages)-1).Draw(t, "message"))
 				}
 			},
-			"tell members": func(t *rapid.T) {
+			"update members": func(t *rapid.T) {
 				n := rapid.IntRange(0, worldInstances-1).Draw(t, "instance")
 				w.applyMemberships(func(k int) bool { return k == n })
 			},
@@ -97,7 +97,7 @@
 				doc.Services[0].Upstreams[1].Leaving = rapid.Bool().Draw(t, "leaving")
 				w.doc = doc
 			},
-			"tell document": func(t *rapid.T) {
+			"update document": func(t *rapid.T) {
 				in := w.instances[rapid.IntRange(0, worldInstances-1).Draw(t, "instance")]
 				old := worldDocument(model.Version(rapid.IntRange(1, int(w.doc.Version)).Draw(t, "version")))
 				for _, doc := range []*model.Document{old, w.doc} {
--- a/internal/core/engine/exchange.go
+++ b/internal/core/engine/exchange.go
@@ -18,9 +18,9 @@
 	// tried holds the upstreams to which the request was forwarded.
 	tried  []model.UpstreamID
 	sentAt model.Instant
-	// startBy is when the request must have left the queue, so that time remains for its answer. deadline is when the caller is answered
-	// at the latest.
-	startBy  model.Instant
+	// startBy is when the request must have left the queue, so that time remains for its answer.
+	startBy model.Instant
+	// deadline is when the caller is answered at the latest.
 	deadline model.Instant
 	// holdsSlot is set while the exchange holds a slot of up.
 	holdsSlot bool
@@ -55,7 +55,7 @@
 	return &exchange{packet: p, service: s, startBy: now.Add(s.firstAnswerTimeout()), deadline: now.Add(s.cfg.RequestTimeout)}
 }
 
-// startExchange sends a new request to an upstream with a free slot, hands it to a peer or queues it.
+// startExchange sends a new request to an upstream with a free slot, hands it off to a peer or queues it.
 func (e *Engine) startExchange(now model.Instant, x *exchange) {
 	s := x.service
 	bound := x.entry != nil
@@ -63,7 +63,7 @@
 	if keepLocal && e.placeUnlessQueued(now, x) {
 		return
 	}
-	if !bound && e.handToOwner(now, s, x.packet) {
+	if !bound && e.handOffToOwner(now, s, x.packet) {
 		return
 	}
 	if !keepLocal && e.placeUnlessQueued(now, x) {
--- a/internal/core/engine/flow.go
+++ b/internal/core/engine/flow.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// flowMaxHops allows the home of an opaque flow to hand a packet to the flow's previous home and to get it back.
+	// flowMaxHops allows the home of an opaque flow to hand a packet off to the flow's previous home and to get it back.
 	flowMaxHops = model.MaxHops + 2
 	// flowReturnHops is the minimum hop count of a packet that the previous home has handed back.
 	flowReturnHops = model.MaxHops + 1
-	// flowPrimaryMaxHops allows the home to hand the packet to the primary of its upstream after that.
+	// flowPrimaryMaxHops allows the home to hand the packet off to the primary of its upstream after that.
 	flowPrimaryMaxHops = flowMaxHops + 1
 	// peerAssignmentLife is how long an unused assignment from a peer is kept.
 	peerAssignmentLife = 10 * time.Minute
@@ -41,7 +41,8 @@
 	return flowTable{flows: recent.New[model.FlowKey, flow](limit), peerAssignments: recent.New[model.FlowKey, *upstream](limit)}
 }
 
-// flowPacket handles an opaque datagram. A packet of a known flow is relayed; any other is handed to the flow's home, which places the flow.
+// flowPacket handles an opaque datagram. A packet of a known flow is relayed; any other is handed off to the flow's home, which places
+// the flow.
 func (e *Engine) flowPacket(now model.Instant, s *service, p *model.Packet) {
 	if e.relayKnownFlow(now, s, p) {
 		return
@@ -109,7 +110,7 @@
 		e.relay(now, p, f.up)
 		return
 	}
-	if !e.handToPrimary(p, f.up) {
+	if !e.handOffToPrimary(p, f.up) {
 		e.relayRedirectedFlow(now, p, f.up)
 	}
 }
@@ -182,7 +183,7 @@
 	if !up.bootTimeInferred || now >= up.coldUntil || !e.flowsSettling(now) || up.noNewWork() {
 		return false
 	}
-	if e.handToPrimary(p, up) {
+	if e.handOffToPrimary(p, up) {
 		return true
 	}
 	e.park(p, up)
--- a/internal/core/engine/flow_test.go
+++ b/internal/core/engine/flow_test.go
@@ -56,7 +56,7 @@
 	j.e.SetPeersContacted()
 }
 
-// wait advances the time in small steps, so that the engine does not take the gap for a pause of the process.
+// wait advances the time in small steps, so that the engine does not take the gap for a stall of the process.
 func (j *joiner) wait(d time.Duration) (out []model.Action) {
 	for end := j.now.Add(d); j.now < end; {
 		j.now = j.now.Add(step)
--- a/internal/core/engine/load.go
+++ b/internal/core/engine/load.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// neighbourLoadSlack is the factor by which an instance's utilisation may exceed its neighbours' mean before it hands new requests to them.
+// neighbourLoadSlack is the factor by which an instance's utilisation may exceed its neighbours' mean before it
+// hands new requests off to them.
 const neighbourLoadSlack = 1.1
 
 // withinNeighbourLoad reports whether this instance's utilisation for the service is within neighbourLoadSlack of its neighbours' mean.
--- a/internal/core/engine/observation.go
+++ b/internal/core/engine/observation.go
@@ -76,7 +76,7 @@
 	return up.allocation.Primary() == e.cfg.Self.ID && up.confirmedAt > up.updateSentAt
 }
 
-// updateRecipients returns the owners of the upstream's slots and, if this instance is stopping, their successors.
+// updateRecipients returns the owners of the upstream's slots and, if this instance is shutting down, their successors.
 func (e *Engine) updateRecipients(up *upstream) []model.InstanceID {
 	if successors := e.successors.Allocation(up.cfg.ID); successors != nil {
 		return slices.Concat(up.allocation.Owners, successors.Owners)
--- a/internal/core/engine/once.go
+++ b/internal/core/engine/once.go
@@ -29,14 +29,14 @@
 	case b.Issuer == e.cfg.Self.Tag():
 		e.runOnce(now, s, p, b)
 	default:
-		e.handToIssuer(now, p, b)
+		e.handOffToIssuer(now, p, b)
 	}
 }
 
 // challengeOnce answers a request without a usable binding with a new one, issued by an instance that owns slots. The request itself is
 // not forwarded.
 func (e *Engine) challengeOnce(now model.Instant, s *service, p *model.Packet, reason model.Reason) {
-	if e.handToOwner(now, s, p) {
+	if e.handOffToOwner(now, s, p) {
 		return
 	}
 	if s.ownedSlots == 0 {
@@ -56,9 +56,9 @@
 	})
 }
 
-// handToIssuer hands a bound request to its issuer, the only instance that may run it. If the issuer may be behind a network partition, the
-// packet is dropped: a retransmission may reach the issuer.
-func (e *Engine) handToIssuer(now model.Instant, p *model.Packet, b bind.Binding) {
+// handOffToIssuer hands a bound request off to its issuer, the only instance that may run it. If the issuer may be behind a network
+// partition, the packet is dropped: a retransmission may reach the issuer.
+func (e *Engine) handOffToIssuer(now model.Instant, p *model.Packet, b bind.Binding) {
 	peer, known := e.issuers[b.Issuer]
 	switch {
 	case known && p.Hops < model.MaxHops:
--- a/internal/core/engine/once_test.go
+++ b/internal/core/engine/once_test.go
@@ -92,9 +92,9 @@
 func (a *singleInstance) boundPacket(class model.Class) *model.Packet {
 	a.Helper()
 	p := a.packet(class, "t")
-	offer := a.onlyAction(p)
-	a.Equal(offer.Verb, model.VerbChallenge)
-	p.Binding = offer.Binding
+	challenge := a.onlyAction(p)
+	a.Equal(challenge.Verb, model.VerbChallenge)
+	p.Binding = challenge.Binding
 	return p
 }
 
@@ -110,6 +110,7 @@
 	return actions[len(actions)-1]
 }
 
+// TestOnce checks that a non-idempotent request runs at most once and what the caller is answered in each case.
 func TestOnce(t *testing.T) {
 	cases := map[string]func(*singleInstance){
 		"a request without a binding is never forwarded": func(a *singleInstance) {
@@ -312,9 +313,9 @@
 		t.Run(name, func(t *testing.T) {
 			a := newSingleInstance(t, nil)
 			p := a.packet(model.ClassOnce, "t")
-			sealer := &bind.Signer{}
-			sealer.SetKeys(bind.Keys{Version: 1, List: []bind.Key{{Epoch: 1}}})
-			p.Binding, _ = sealer.Sign(p.Flow, bind.Binding{Use: bind.UseOnce, Issuer: model.NewIssuerTag("instance-1", 1), Serial: 1, Expiry: 1_700_000_100})
+			issuer := &bind.Signer{}
+			issuer.SetKeys(bind.Keys{Version: 1, List: []bind.Key{{Epoch: 1}}})
+			p.Binding, _ = issuer.Sign(p.Flow, bind.Binding{Use: bind.UseOnce, Issuer: model.NewIssuerTag("instance-1", 1), Serial: 1, Expiry: 1_700_000_100})
 			self := model.Member{ID: "instance-0", Domain: "east", Boot: 1, State: model.MemberAlive}
 			a.e.SetMembers(a.now, append(tc.members, self), nil)
 			a.Equal(a.onlyAction(p).Verb, tc.want)
@@ -322,7 +323,7 @@
 	}
 }
 
-// TestUnansweringUpstream checks that an upstream that did not answer and may have restarted is limited to its cold allowance at first. An
+// TestUnansweringUpstream checks that an upstream that did not answer and may have restarted gets its cold-start capacity at first. An
 // upstream that reports its boot is limited only if the boot changed.
 func TestUnansweringUpstream(t *testing.T) {
 	cases := map[string]struct {
--- a/internal/core/engine/packet.go
+++ b/internal/core/engine/packet.go
@@ -41,8 +41,8 @@
 	e.refuse(p, reason)
 }
 
-// handToOwner hands a new request to an owner of slots; it reports false if this instance should keep the request.
-func (e *Engine) handToOwner(now model.Instant, s *service, p *model.Packet) bool {
+// handOffToOwner hands a new request off to an owner of slots; it reports false if this instance should keep the request.
+func (e *Engine) handOffToOwner(now model.Instant, s *service, p *model.Packet) bool {
 	if p.Hops >= model.MaxHops {
 		return false
 	}
--- a/internal/core/engine/service.go
+++ b/internal/core/engine/service.go
@@ -34,7 +34,8 @@
 	budget     choose.RetryBudget
 	// waiting holds the requests that are queued for a slot.
 	waiting queue.Queue[*exchange]
-	// retryChecks and deadlines hold the forwarded requests, ordered by when they are due for a retry and by their deadline.
+	// retryChecks and deadlines hold the forwarded requests in the order in which they were forwarded, until they are due for a retry and
+	// until their deadline.
 	retryChecks queue.Queue[*exchange]
 	deadlines   queue.Queue[*exchange]
 }
@@ -107,17 +108,17 @@
 // passes this on to the new owners.
 func (e *Engine) setAllocation(up *upstream, next *units.Allocation) {
 	self := e.cfg.Self.ID
-	if up.allocation.Primary() == self && (next.Primary() != self || e.stopStartedAt != 0) && !up.bootTimeInferred {
+	if up.allocation.Primary() == self && (next.Primary() != self || e.shutdownStartedAt != 0) && !up.bootTimeInferred {
 		up.updateDue, e.updateUrgent = true, true
 	}
 	up.allocation = next
 }
 
-// indexSlot adds one slot and its owner to the service's tables; a stopping instance omits its own slots.
+// indexSlot adds one slot and its owner to the service's tables; an instance that is shutting down omits its own slots.
 func (e *Engine) indexSlot(s *service, sl slot, id model.InstanceID) {
 	self := id == e.cfg.Self.ID
 	switch {
-	case self && e.stopStartedAt != 0:
+	case self && e.shutdownStartedAt != 0:
 	case sl.up.cfg.Domain != e.cfg.Self.Domain:
 		s.remoteSlots = append(s.remoteSlots, sl)
 	default:
--- a/internal/core/engine/sticky.go
+++ b/internal/core/engine/sticky.go
@@ -80,7 +80,7 @@
 		e.forward(p, up)
 		return
 	}
-	if e.handToPrimary(p, up) {
+	if e.handOffToPrimary(p, up) {
 		return
 	}
 	if now.Sub(up.probedAt) >= e.doc.Timing.WarmLease || up.probedAt == 0 {
@@ -100,9 +100,9 @@
 	up.parked.Push(p)
 }
 
-// handToPrimary hands a packet to the upstream's primary; it reports false if there is none, if it is this instance or if the packet has
-// reached its hop limit.
-func (e *Engine) handToPrimary(p *model.Packet, up *upstream) bool {
+// handOffToPrimary hands a packet off to the upstream's primary; it reports false if there is none, if it is this instance or if the
+// packet has reached its hop limit.
+func (e *Engine) handOffToPrimary(p *model.Packet, up *upstream) bool {
 	primary := up.allocation.Primary()
 	limit := uint8(model.MaxHops)
 	if p.Class == model.ClassFlow {
@@ -146,11 +146,11 @@
 	up.streams++
 }
 
-// challengeStream assigns a new stream to an upstream and answers with its binding, or hands the packet to an owner of slots.
+// challengeStream assigns a new stream to an upstream and answers with its binding, or hands the packet off to an owner of slots.
 func (e *Engine) challengeStream(now model.Instant, s *service, p *model.Packet, reason model.Reason) {
 	up := e.placeStream(now, s)
 	if up == nil {
-		if !e.handToOwner(now, s, p) {
+		if !e.handOffToOwner(now, s, p) {
 			e.refuse(p, model.ReasonNoUpstream)
 		}
 		return
--- a/internal/core/engine/tick.go
+++ b/internal/core/engine/tick.go
@@ -28,9 +28,9 @@
 	return e.actions
 }
 
-// releaseOwnership gives up the slots of a stopping instance once its peers have noticed the stop.
+// releaseOwnership gives up the slots of an instance that is shutting down once its peers have noticed the shutdown.
 func (e *Engine) releaseOwnership(now model.Instant) {
-	if e.stopStartedAt == 0 || now.Sub(e.stopStartedAt) <= e.doc.Timing.Detection {
+	if e.shutdownStartedAt == 0 || now.Sub(e.shutdownStartedAt) <= e.doc.Timing.Detection {
 		return
 	}
 	if e.ownership.OwnsAny() {
--- a/internal/core/engine/upstream.go
+++ b/internal/core/engine/upstream.go
@@ -12,7 +12,8 @@
 
 const (
 	// parkLimit is the maximum number of packets parked for one upstream.
-	parkLimit      = 256
+	parkLimit = 256
+	// backoffInitial and backoffMax bound the pause of new requests to an upstream that did not answer.
 	backoffInitial = 250 * time.Millisecond
 	backoffMax     = 2 * time.Second
 	// shedPause is how long an upstream gets no new requests after it shed one.
@@ -38,11 +39,11 @@
 	restartedAt model.Instant
 	// confirmedAt is when an answer last confirmed the boot; zero for never.
 	confirmedAt model.Instant
-	// suspect is set when it did not answer, so that it may have restarted.
+	// suspect is set when the upstream did not answer, so that it may have restarted.
 	suspect bool
 	// coldUntil is when the cold start ends.
 	coldUntil model.Instant
-	// bootTimeInferred is set while the boot is only known from the upstream's answers, so that it may have started long before the first.
+	// bootTimeInferred is set while the boot is only known from the upstream's answers: it may have started long before the first of them.
 	bootTimeInferred bool
 	// updateDue is set while this instance has yet to report the boot time to the owners of its slots.
 	updateDue bool
@@ -64,7 +65,7 @@
 	utilisation gauge
 	// openedStreams counts the streams and flows that this instance recently assigned to it.
 	openedStreams window
-	// coldStreams counts the streams and flows assigned to it during the current cold start.
+	// coldStreams counts the streams assigned to it since its boot was recorded, and the flows assigned to it during the cold start.
 	coldStreams int
 	// streams is the number of its streams and flows that this instance tracks.
 	streams int
@@ -146,8 +147,8 @@
 	u.pauseUntil = now.Add(u.backoff)
 }
 
-// confirm takes an answer as proof that the upstream runs as boot, which is zero for an upstream that does not report it. It reports
-// whether the answer reveals a restart.
+// confirm records the boot that an answer carries; boot is zero for an upstream that does not report it. It reports whether the answer
+// reveals a restart.
 func (u *upstream) confirm(now model.Instant, boot model.BootID) (restarted bool) {
 	if boot != 0 && slices.Contains(u.previousBoots, boot) {
 		return false
--- a/internal/core/health/health.go
+++ b/internal/core/health/health.go
@@ -48,15 +48,15 @@
 	OutcomeAnswered Outcome = iota + 1
 	// OutcomeFailed means that the probe timed out or that the connection was refused; a network partition may cause either.
 	OutcomeFailed
-	// OutcomeInconclusive means that this instance was paused during the probe, which may be why no answer arrived in time.
+	// OutcomeInconclusive means that this instance stalled during the probe, which may be why no answer arrived in time.
 	OutcomeInconclusive
 )
 
 // Tracker tracks the reachability of one upstream. The zero value is an upstream that is considered reachable.
 type Tracker struct {
-	// timeouts is the number of unanswered packets since the last success.
+	// timeouts is the number of consecutive unanswered packets; a success or an answered probe resets it.
 	timeouts int
-	// probeFailures is the number of failed probes since the last success.
+	// probeFailures is the number of consecutive failed probes; a success or an answered probe resets it.
 	probeFailures int
 	// unansweredSince is when the first of the unanswered packets was sent.
 	unansweredSince model.Instant
@@ -135,7 +135,7 @@
 	return t.timeouts >= ejectionTimeouts || t.probeFailures > 0
 }
 
-// Unreachable reports whether so many probes have failed since the last success that an open flow has a better chance at another upstream;
+// Unreachable reports whether so many consecutive probes have failed that an open flow has a better chance at another upstream;
 // unanswered states whether the flow itself is waiting for an answer.
 func (t *Tracker) Unreachable(unanswered bool) bool {
 	return t.probeFailures >= certainFailures || (unanswered && t.probeFailures >= likelyFailures)
--- a/internal/core/model/action.go
+++ b/internal/core/model/action.go
@@ -24,7 +24,7 @@
 	VerbRefuse
 	// VerbOutcomeUnknown tells the caller that its request may or may not have been executed.
 	VerbOutcomeUnknown
-	// VerbDrop discards the packet or answer and increments the counter of Reason.
+	// VerbDrop discards the packet or answer, if any, and increments the counter of Reason.
 	VerbDrop
 	// VerbReset sends a reset to the caller of a flow.
 	VerbReset
--- a/internal/core/model/member.go
+++ b/internal/core/model/member.go
@@ -9,7 +9,7 @@
 const (
 	// MemberAlive is an instance that answers probes.
 	MemberAlive MemberState = iota + 1
-	// MemberLeaving is an instance in a planned shutdown: it takes no new work.
+	// MemberLeaving is an instance in a graceful shutdown: it takes no new work.
 	MemberLeaving
 	// MemberSuspect is an instance that did not answer; it keeps its slots until it is declared dead.
 	MemberSuspect
--- a/internal/core/model/reason.go
+++ b/internal/core/model/reason.go
@@ -7,7 +7,8 @@
 const (
 	// ReasonNone is the zero value: the action has no particular reason.
 	ReasonNone Reason = iota
-	// ReasonNoService means that no service of the document has the destination address.
+	// ReasonNoService means that no service of the document has the destination address, or that the service was removed while the request
+	// was queued.
 	ReasonNoService
 	// ReasonNoDocument means that the instance has not loaded a document yet.
 	ReasonNoDocument
@@ -19,39 +20,46 @@
 	ReasonQueueFull
 	// ReasonQueueTimeout means that the request did not get a slot in time.
 	ReasonQueueTimeout
-	// ReasonWoken is counted after a pause of the process that was so long that the hold-off of its slots restarts.
+	// ReasonWoken is counted after a stall of the process of at least half the detection time, which restarts the hold-off of its slots.
 	ReasonWoken
-	// ReasonBindingForged means that the binding failed authentication or does not fit the request.
+	// ReasonBindingForged means that the binding failed authentication or was issued for another caller or service. For a stream, it also
+	// means that the signing key is no longer valid or that the binding was issued for a single request.
 	ReasonBindingForged
-	// ReasonBindingExpired means that the binding, or the key that sealed it, is too old.
+	// ReasonBindingExpired means that the binding has expired or, for a non-idempotent request, that the key that signed it is no longer
+	// valid.
 	ReasonBindingExpired
-	// ReasonBindingUsed means that the binding was issued for another request or another use.
+	// ReasonBindingUsed means that the binding of a non-idempotent request was issued for another request or for a stream.
 	ReasonBindingUsed
 	// ReasonBindingMissing means that the request needs a binding and has none.
 	ReasonBindingMissing
-	// ReasonBindingMoved means that the stream has to move because its upstream has ended or restarted; also counted when a restart is detected.
+	// ReasonBindingMoved means that the stream has to move because its upstream was removed, was taken out of service with its failure
+	// domain or has restarted; also counted when a restart is detected.
 	ReasonBindingMoved
-	// ReasonIssuerGone means that the instance that issued the binding is no longer a member.
+	// ReasonIssuerGone means that the instance that issued the binding has restarted, is dead or is unknown, or that the request cannot be
+	// handed off to it because MaxHops is reached.
 	ReasonIssuerGone
-	// ReasonIssuerSevered means that the instance that issued the binding is unreachable, but may still be running.
+	// ReasonIssuerSevered means that the instance that issued the binding may still be running behind a network partition: every instance of
+	// its failure domain is considered dead.
 	ReasonIssuerSevered
 	// ReasonIssuerElsewhere marks a request handed off to the instance that issued its binding.
 	ReasonIssuerElsewhere
 	// ReasonAnswerLost means that the request was forwarded, but no answer arrived in time.
 	ReasonAnswerLost
-	// ReasonAnswerLate means that the answer's request was already finished.
+	// ReasonAnswerLate means that the answer matches no unanswered request; most such answers arrive after their request was finished.
 	ReasonAnswerLate
-	// ReasonAnswerUnexpected means that the answer came from an unknown sender or belongs to no known flow.
+	// ReasonAnswerUnexpected means that the sender of the answer is not an upstream of the service, or not the upstream of the flow.
 	ReasonAnswerUnexpected
-	// ReasonReplyUnknown means that a caller's acknowledgement or rejection matches no message of an upstream.
+	// ReasonReplyUnknown means that a caller's acknowledgement or rejection matches no message of an upstream, or that the upstream was
+	// removed or taken out of service.
 	ReasonReplyUnknown
 	// ReasonUpstreamSilent means that an upstream did not answer, or may have restarted since its last answer.
 	ReasonUpstreamSilent
 	// ReasonUpstreamShed is counted when an upstream rejects a request without executing it.
 	ReasonUpstreamShed
-	// ReasonRetryBudget means that the retry budget was exhausted.
+	// ReasonRetryBudget means that the retry budget was exhausted or, for a request that its upstream did not run, that too little time was
+	// left for a retry.
 	ReasonRetryBudget
-	// ReasonRepeat marks a retransmission of a known request.
+	// ReasonRepeat marks a retransmission of a known request, or a different idempotent request that reuses the token of a recent one.
 	ReasonRepeat
 	// ReasonMalformed means that the datagram could not be parsed.
 	ReasonMalformed
@@ -59,13 +67,14 @@
 	ReasonRingFull
 	// ReasonSendFailed means that the datagram could not be sent.
 	ReasonSendFailed
-	// ReasonBorrow marks new work handed off to an instance of the same failure domain that owns slots of the service.
+	// ReasonBorrow marks new work handed off to an instance that owns slots of upstreams in the same failure domain.
 	ReasonBorrow
-	// ReasonSpill marks new work handed off to an instance of another failure domain.
+	// ReasonSpill marks new work handed off to an instance that owns slots of upstreams in another failure domain.
 	ReasonSpill
-	// ReasonHome marks a packet or answer handed off to the home instance of its flow, which the hash of the flow key selects.
+	// ReasonHome marks a packet or answer handed off to the home instance of its flow, which the hash of the flow key selects, or to the
+	// flow's previous home after a change of the members or the document.
 	ReasonHome
-	// ReasonFlowLimit means that the table of flows or streams was full.
+	// ReasonFlowLimit means that the table of flows, streams, flow assignments or pending acknowledgements was full.
 	ReasonFlowLimit
 	// ReasonNoRoute means that the destination address of a new flow has no route.
 	ReasonNoRoute
@@ -77,17 +86,17 @@
 	ReasonTagMissing
 	// ReasonUpstreamGone means that the upstream of the flow has ended.
 	ReasonUpstreamGone
-	// ReasonUpstreamUnreachable means that the upstream of the flow answers neither the flow nor probes.
+	// ReasonUpstreamUnreachable means that an idempotent flow was reset because its upstream does not answer probes; see health.Tracker.
 	ReasonUpstreamUnreachable
-	// ReasonHandshakeSilent marks an opening packet sent to a further upstream because the previous one did not answer in time.
+	// ReasonHandshakeSilent marks a SYN sent to a further upstream because the previous one did not answer in time.
 	ReasonHandshakeSilent
-	// ReasonCallerRepeats marks an opening packet that the caller retransmitted because no upstream had answered.
+	// ReasonCallerRepeats marks a SYN that the caller retransmitted because no upstream had answered.
 	ReasonCallerRepeats
-	// ReasonRouteRemoved means that the route of an open flow was removed from the configuration.
+	// ReasonRouteRemoved means that the destination address of an open flow has no route: it was removed from the configuration.
 	ReasonRouteRemoved
-	// ReasonKeyAhead means that the binding was sealed with a key that other instances have, but this one has not received yet.
+	// ReasonKeyAhead means that the binding was signed with a key that other instances have, but this one has not received yet.
 	ReasonKeyAhead
-	// ReasonStale means that the packet had waited too long because the instance was paused.
+	// ReasonStale means that the packet was queued before or during a long stall of the instance.
 	ReasonStale
 	// ReasonReceiveFailed means that receiving a datagram failed.
 	ReasonReceiveFailed
--- a/internal/core/model/registry.go
+++ b/internal/core/model/registry.go
@@ -27,7 +27,7 @@
 	Slots int
 	// ColdFor is the remaining time of the cold start, counted from the write.
 	ColdFor time.Duration
-	// Draining is true before a planned shutdown: open flows continue, new ones go to other upstreams.
+	// Draining is true before a graceful shutdown: open flows continue, new ones go to other upstreams.
 	Draining bool
 }
 
--- a/internal/core/model/segment.go
+++ b/internal/core/model/segment.go
@@ -7,9 +7,9 @@
 // decision packages need it.
 type Segment struct {
 	Flow FlowKey
-	// Syn is true for the packet that opens a flow.
+	// Syn is true for a SYN, the packet that opens a flow.
 	Syn bool
-	// Retransmission is the number of earlier transmissions of an opening packet; zero for all other packets.
+	// Retransmission is the number of earlier transmissions of a SYN; zero for all other packets.
 	Retransmission uint32
 	// HasAck is true if AckSeq is valid.
 	HasAck bool
--- a/internal/core/model/view.go
+++ b/internal/core/model/view.go
@@ -14,7 +14,7 @@
 	Owned int
 	// Limit is the number of concurrent requests that the instance may currently send to the upstream.
 	Limit int
-	// Running is the number of requests from the instance that the upstream is processing.
+	// Running is the number of the upstream's slots that requests from the instance hold.
 	Running int
 	// Streams is the number of streams or flows that the instance relayed to the upstream recently.
 	Streams int
--- a/internal/core/recent/recent_test.go
+++ b/internal/core/recent/recent_test.go
@@ -10,6 +10,7 @@
 	"hawthorncourse/internal/core/recent"
 )
 
+// TestExpire checks that idle entries expire, that a use postpones the expiry and that a full table accepts no new key.
 func TestExpire(t *testing.T) {
 	is := is.New(t)
 	table := recent.New[string, int](2)
@@ -27,6 +28,7 @@
 	is.Equal(table.Len(), 0)
 }
 
+// TestPutAfterDelete checks that the mark of a deleted entry does not expire a later entry of the same key.
 func TestPutAfterDelete(t *testing.T) {
 	is := is.New(t)
 	table := recent.New[string, int](2)
--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -79,7 +79,7 @@
 	r.cfg.TagRetention = d
 }
 
-// Sync applies a complete listing. Upstreams that it does not contain are missing.
+// Sync applies a complete listing. Upstreams that it does not contain are missing during the grace period, and gone after it.
 func (r *Roster) Sync(now model.Instant, list model.Listing[model.Registration]) {
 	r.hasUnreadable = len(list.Unreadable) > 0
 	listed := make(map[model.UpstreamID]bool, len(list.Items))
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -44,9 +44,9 @@
 		},
 		"draining upstream's registration missing shortly after an outage of the store": {
 			steps: func(r *roster.Roster) {
-				leaving := registration(1, 2)
-				leaving.Draining = true
-				r.Sync(afterGrace, listing(leaving))
+				draining := registration(1, 2)
+				draining.Draining = true
+				r.Sync(afterGrace, listing(draining))
 				r.ExtendGrace(afterGrace.Add(time.Second))
 				r.Sync(afterGrace, listing())
 			},
@@ -228,10 +228,10 @@
 				r.Sync(afterGrace.Add(time.Duration(n)*time.Second), listing(first, tc.other))
 			}
 			goneCount := 0
-			for _, n := range r.TakeStateChanges() {
-				if n.State == roster.StateGone {
-					is.Equal(n.Upstream.ID, tc.ended)
-					is.Equal(r.ByTag(n.Upstream.Service, n.Upstream.Tag), n.Upstream)
+			for _, change := range r.TakeStateChanges() {
+				if change.State == roster.StateGone {
+					is.Equal(change.Upstream.ID, tc.ended)
+					is.Equal(r.ByTag(change.Upstream.Service, change.Upstream.Tag), change.Upstream)
 					goneCount++
 				}
 			}
--- a/internal/core/units/units.go
+++ b/internal/core/units/units.go
@@ -75,7 +75,7 @@
 	return timing.Detection + svc.RequestTimeout
 }
 
-// RestartHoldOff releases all slots of this instance; the next Update grants them again with a new hold-off. It is called after a pause of
+// RestartHoldOff releases all slots of this instance; the next Update grants them again with a new hold-off. It is called after a stall of
 // the process, during which other instances may have taken over the slots.
 func (t *Table) RestartHoldOff() {
 	for _, a := range t.allocations {
@@ -170,8 +170,8 @@
 		pools[m.Domain] = append(pools[m.Domain], c)
 		all = append(all, c)
 	}
-	for id, adopted := range in.Orphaned {
-		if adopted && len(pools[id]) == 0 {
+	for id, orphaned := range in.Orphaned {
+		if orphaned && len(pools[id]) == 0 {
 			pools[id] = all
 		}
 	}
