--- a/internal/core/direct/cold_test.go
+++ b/internal/core/direct/cold_test.go
@@ -97,21 +97,21 @@
 }
 
 // TestPossibleRestart checks an upstream that was down and responds again before the registry shows whether it has restarted: it must be
-// treated as cold until the registry updates it or the length of a cold start has passed.
+// treated as cold until its registration is updated or the length of a cold start has passed.
 func TestPossibleRestart(t *testing.T) {
 	const coldFor = 2 * time.Second
 	cases := map[string]struct {
 		// down holds the indexes of the upstreams whose probes fail.
 		down []int
-		// update changes the registry entry after the recovery, and delay is the time from then to the check.
+		// update changes the registration after the recovery, and delay is the time from then to the check.
 		update func(*model.Registration)
 		delay  time.Duration
 		cold   bool
 	}{
 		"one upstream":                     {down: []int{0}, cold: true},
 		"one upstream, cold start over":    {down: []int{0}, delay: coldFor},
-		"one upstream, registry says warm": {down: []int{0}, update: func(r *model.Registration) { r.Revision = 50 }},
-		"one upstream, registry says cold": {down: []int{0}, update: func(r *model.Registration) { r.Boot, r.Revision, r.ColdFor = 9, 50, coldFor }, cold: true},
+		"one upstream, registered as warm": {down: []int{0}, update: func(r *model.Registration) { r.Revision = 50 }},
+		"one upstream, registered as cold": {down: []int{0}, update: func(r *model.Registration) { r.Boot, r.Revision, r.ColdFor = 9, 50, coldFor }, cold: true},
 		"partitioned failure domain":       {down: []int{0, 1}},
 	}
 	for name, tc := range cases {
--- a/internal/core/direct/engine.go
+++ b/internal/core/direct/engine.go
@@ -62,7 +62,7 @@
 	Isolation bool
 }
 
-// Action is one decision of the engine, for its user to carry out.
+// Action is one decision of the engine, for the caller to carry out.
 type Action struct {
 	// Verb is VerbForward, VerbReset, VerbDrop or VerbProbe.
 	Verb   model.Verb
@@ -119,10 +119,11 @@
 
 // Engine decides on the flows of one instance. It is not safe for concurrent use.
 type Engine struct {
-	cfg           Config
-	rng           *rand.Rand
-	policy        choose.Policy[place.Candidate[*roster.Upstream]]
-	roster        *roster.Roster
+	cfg    Config
+	rng    *rand.Rand
+	policy choose.Policy[place.Candidate[*roster.Upstream]]
+	roster *roster.Roster
+	// table is the active configuration; routes and serviceLimits index its contents.
 	table         model.RouteTable
 	routes        map[netip.AddrPort]*route
 	serviceLimits map[model.ServiceID]model.ServiceLimits
@@ -155,10 +156,10 @@
 	unreachable []*roster.Upstream
 }
 
-// route is a configured route with all services that it has sent flows to, as far as this instance knows.
+// route is a configured route with all services that have been its targets, as far as this instance knows.
 type route struct {
 	model.Route
-	// services holds the current targets first, then earlier ones, whose open flows continue.
+	// services holds the current targets first, then the earlier ones, which still serve their open flows.
 	services []model.ServiceID
 }
 
@@ -191,7 +192,7 @@
 	e.roster.SetTagRetention(l.FlowLife)
 }
 
-// Roster returns the upstreams known to the engine; the user of the engine updates it from the registry.
+// Roster returns the upstreams known to the engine; the caller updates it from the registry.
 func (e *Engine) Roster() *roster.Roster {
 	return e.roster
 }
--- a/internal/core/direct/engine_test.go
+++ b/internal/core/direct/engine_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// threeUpstreams returns the entries of three upstreams of the service "desk" in two failure domains.
+// threeUpstreams returns the registrations of three upstreams of the service "desk" in two failure domains.
 func threeUpstreams() []model.Registration {
 	return []model.Registration{registration(1, "east"), registration(2, "east"), registration(3, "west")}
 }
@@ -150,7 +150,7 @@
 			h.Equal(a.Reason, model.ReasonUpstreamGone)
 			h.Equal(h.data(2, feedAddress, 777).Verb, model.VerbDrop)
 		},
-		"an open flow stays at its upstream while that drains": func(h *harness) {
+		"an open flow stays at its upstream while the upstream drains": func(h *harness) {
 			up := h.engine.Roster().ByService("desk")[0]
 			leaving := registration(1, "east")
 			leaving.Draining, leaving.Revision = true, 9
@@ -160,7 +160,7 @@
 				h.True(h.syn(port, feedAddress, 0).Upstream != up)
 			}
 		},
-		"a failure domain that is taken out keeps its open flows and gets no new ones": func(h *harness) {
+		"a failure domain that is taken out of service keeps its open flows and gets no new ones": func(h *harness) {
 			up := h.engine.Roster().ByService("desk")[0]
 			h.engine.Roster().SetOut(h.now, []model.DomainID{"east"})
 			h.Equal(h.data(1, feedAddress, up.Tag).Upstream, up)
--- a/internal/core/direct/event.go
+++ b/internal/core/direct/event.go
@@ -15,7 +15,8 @@
 	// EventUpstreamEjected means that an upstream does not respond and gets no new flows for now.
 	EventUpstreamEjected EventKind = iota + 1
 	EventUpstreamReachable
-	// EventDomainPartitioned means that no upstream of a failure domain responds and that the domain gets no new flows for now.
+	// EventDomainPartitioned means that probes of several upstreams of a failure domain have failed and none of its upstreams responds: the
+	// domain is considered partitioned from this instance and gets no new flows for now.
 	EventDomainPartitioned
 	EventDomainReachable
 )
--- a/internal/core/direct/flow.go
+++ b/internal/core/direct/flow.go
@@ -89,11 +89,11 @@
 	return false
 }
 
-// retransmitAfter is below the time after which callers retransmit data (200 ms); older data that arrives sooner was reordered on its way.
+// retransmitAfter is below the time after which callers retransmit data (200 ms); old data that arrives sooner was reordered in the network.
 const retransmitAfter = 150 * time.Millisecond
 
-// isRetransmission reports whether the packet retransmits data that is still unanswered; it is false for a nil flow, which was not seen
-// before.
+// isRetransmission reports whether the packet retransmits data that is still unanswered; it is false for a nil flow, which this
+// instance has not seen before.
 func (f *flow) isRetransmission(now model.Instant, seg *model.Segment) bool {
 	return f != nil && f.established && f.requestAt != 0 && seg.Size > 0 && !seqAfter(seg.Seq+uint32(seg.Size), f.sentSeq) && now.Sub(f.requestAt) >= retransmitAfter
 }
--- a/internal/core/direct/open.go
+++ b/internal/core/direct/open.go
@@ -16,9 +16,9 @@
 	handshakeTimeoutFactor = 3
 	// retryBudgetPercent bounds the SYNs retried at another upstream, as a percentage of new flows.
 	retryBudgetPercent = 50
-	// attemptLimit is how many upstreams the SYN of one flow is sent to without a retransmission by the caller.
+	// attemptLimit is the maximum number of upstreams that the SYN of one flow is sent to unless the caller retransmits it.
 	attemptLimit = 3
-	// stallThreshold is how late a timer may fire; beyond it, this instance itself must have been stalled.
+	// stallThreshold is how late a timer may fire before this instance itself counts as stalled.
 	stallThreshold = 50 * time.Millisecond
 )
 
@@ -105,7 +105,7 @@
 			continue
 		}
 		if now.Sub(t.deadline) > stallThreshold {
-			// Answers may be waiting unread: allow another timeout of this instance's running time first.
+			// This instance was stalled, so answers may still be queued: allow another timeout from now on before the SYN counts as unanswered.
 			t.deadline = now.Add(e.handshakes.timeout())
 			e.timers.add(t)
 			continue
--- a/internal/core/direct/packet.go
+++ b/internal/core/direct/packet.go
@@ -95,8 +95,8 @@
 	tag     model.RoutingTag
 }
 
-// handleUnresolved handles a packet whose upstream is not known. The packet is dropped while the upstream may be known to other instances
-// only. Once the registry has been confirmed since the tag was first seen, the upstream has ended and the flow is reset.
+// handleUnresolved handles a packet whose upstream is not known. The packet is dropped at first, as the upstream may be so new that only
+// other instances know it. Once the registry has been confirmed since the tag was first seen, the upstream has ended and the flow is reset.
 func (e *Engine) handleUnresolved(now model.Instant, seg *model.Segment, f *flow) {
 	if seg.Tag == 0 {
 		e.drop(seg, nil, model.ReasonTagMissing)
@@ -117,7 +117,8 @@
 	e.drop(seg, nil, model.ReasonTagUnknown)
 }
 
-// terminate ends the flow of a packet that cannot be forwarded, and resets it so that its caller need not wait.
+// terminate removes the flow of a packet that cannot be forwarded, and resets it so that its caller need not wait for a timeout. A packet
+// that is itself a reset is only dropped.
 func (e *Engine) terminate(seg *model.Segment, f *flow, up *roster.Upstream, reason model.Reason) {
 	if f != nil {
 		f.releaseLoad()
--- a/internal/core/direct/reach.go
+++ b/internal/core/direct/reach.go
@@ -55,8 +55,8 @@
 	e.recordDomainSuccess(now, u.Domain)
 }
 
-// limitIfRestarted treats an upstream that was down and responds again as cold, since it may have restarted: until the registry updates it,
-// or for the length of a cold start.
+// limitIfRestarted treats an upstream that was down and responds again as cold, since it may have restarted. This lasts for the length of a
+// cold start, or until the registry delivers a new registration that states the rest of the cold start.
 func (e *Engine) limitIfRestarted(now model.Instant, u *roster.Upstream) {
 	if u.Health.Down() {
 		u.ColdUntil = max(u.ColdUntil, now.Add(e.serviceLimits[u.Service].ColdFor))
@@ -159,8 +159,8 @@
 	}
 }
 
-// suspectDomain probes every upstream of an unresponsive failure domain: several upstreams that fail at the same time look like a
-// partition, and open flows to the others continue.
+// suspectDomain probes every upstream of an unresponsive failure domain. Several upstreams that fail at the same time look like a partition;
+// probes of each tell them from the others, whose open flows continue.
 func (e *Engine) suspectDomain(now model.Instant, id model.DomainID) {
 	for _, u := range e.roster.All() {
 		if u.Domain == id {
--- a/internal/core/direct/select.go
+++ b/internal/core/direct/select.go
@@ -6,7 +6,8 @@
 	"hawthorncourse/internal/core/roster"
 )
 
-// choose picks the upstream of a new flow; it returns nil when no upstream may take it.
+// choose picks the upstream of a new flow: in a target service that is drawn by weight, or in another target of the route if that service has
+// none available. It returns nil when no upstream may take the flow.
 func (e *Engine) choose(now model.Instant, r *route, f *flow) *roster.Upstream {
 	target := place.PickWeighted(r.Targets, func(t model.Target) float64 { return t.Weight }, e.rng)
 	if up := e.chooseFromService(now, target.Service, f); up != nil {
--- a/internal/core/direct/suspicion.go
+++ b/internal/core/direct/suspicion.go
@@ -18,7 +18,8 @@
 // suspicions collects the targets that failed this instance's own probes and that other instances should probe.
 type suspicions struct {
 	pending model.Suspicion
-	// recentUpstreams and recentDomains hold when each target was last reported or received; expire removes old entries.
+	// recentUpstreams and recentDomains hold when each target was last reported or received; expire removes those older than
+	// suspicionTTL.
 	recentUpstreams map[model.UpstreamID]model.Instant
 	recentDomains   map[model.DomainID]model.Instant
 }
@@ -57,7 +58,7 @@
 	deleteExpired(s.recentDomains, now)
 }
 
-// deleteExpired removes entries older than suspicionTTL.
+// deleteExpired removes targets that were last reported suspicionTTL ago or earlier.
 func deleteExpired[K comparable](reported map[K]model.Instant, now model.Instant) {
 	for k, at := range reported {
 		if now.Sub(at) >= suspicionTTL {
--- a/internal/core/fresh/outage.go
+++ b/internal/core/fresh/outage.go
@@ -10,16 +10,17 @@
 // unavailable.
 const gapSlack = 300 * time.Millisecond
 
-// OutageTracker decides whether a missing registry entry means that its upstream has ended. Entries expire while the store is unavailable,
-// so an instance that missed confirmations, directly or through its reader, cannot tell for a grace period afterwards.
+// OutageTracker decides whether a missing registration means that its upstream has ended. Registrations expire while the store is
+// unavailable. An instance that missed confirmations, from the store or from its reader, therefore draws no conclusion from a missing
+// registration until a grace period has passed.
 type OutageTracker struct {
 	// MaxGap is the longest time between two confirmations that does not count as an outage.
 	MaxGap time.Duration
-	// Grace is how long after an outage upstreams may re-create their entries.
+	// Grace is how long after an outage upstreams may re-create their registrations.
 	Grace time.Duration
 	// confirmedAt is when the store last confirmed the instance's data; zero before the first confirmation.
 	confirmedAt model.Instant
-	// graceUntil is when the grace period ends, before which a missing entry is not conclusive.
+	// graceUntil is the end of the grace period, before which a missing registration is not conclusive.
 	graceUntil model.Instant
 }
 
--- a/internal/core/fresh/outage_test.go
+++ b/internal/core/fresh/outage_test.go
@@ -21,7 +21,7 @@
 	}{
 		"first confirmation after start":       {confirmed: []float64{5}, want: grace},
 		"regular confirmations":                {confirmed: []float64{5, 6, 7, 8, 9}},
-		"one read retried":                     {confirmed: []float64{5, 6, 7, 8, 9.8}, want: grace},
+		"one read delayed by a retry":          {confirmed: []float64{5, 6, 7, 8, 9.8}, want: grace},
 		"regular again after the grace period": {confirmed: []float64{5, 8, 9, 10, 11}},
 		"reader in its grace period":           {confirmed: []float64{5, 6, 7, 8, 9}, peerGrace: time.Second, want: time.Second},
 		"no confirmation during an outage":     {confirmed: []float64{5, 6, 7, 8, 13}, want: grace},
--- a/internal/core/fresh/scheduler.go
+++ b/internal/core/fresh/scheduler.go
@@ -54,10 +54,10 @@
 	failedRevision model.Revision
 	// storeNext is set while the store has to be read instead of polling the reader.
 	storeNext bool
-	// claimFailedAt is when the last claim without an answer ended; zero if the last claim was answered.
+	// claimFailedAt is when the last claim failed for lack of an answer; zero if the last claim was answered.
 	claimFailedAt model.Instant
-	// claimDelay is how long a vacant role is left to instances with faster links. vacantSince is when the role was found vacant; zero
-	// while it is held.
+	// claimDelay is how long this instance waits before it claims a vacant role, so that instances with faster links claim it first.
+	// vacantSince is when the role was found vacant; zero while it is held.
 	claimDelay  time.Duration
 	vacantSince model.Instant
 	// nextAt is the earliest time of the next step.
@@ -70,7 +70,8 @@
 	Self model.InstanceID
 	// MaxStaleness is the time within which a change must take effect.
 	MaxStaleness time.Duration
-	// LinkMbps is the speed of the instance's own link in Mbit/s; the instance with the fastest link should be the reader.
+	// LinkMbps is the speed of the instance's own link in Mbit/s; the instance with the fastest link should be the reader. Zero means
+	// unknown and counts as the slowest link.
 	LinkMbps float64
 }
 
@@ -147,7 +148,7 @@
 	return maxAgeIntervals * s.pacer.Interval()
 }
 
-// FinishStoreRead records the outcome of a read of the store that began at start.
+// FinishStoreRead records the outcome of a read of the store that started at start.
 func (s *Scheduler) FinishStoreRead(now, start model.Instant, record model.ReaderRecord, ok bool) {
 	s.nextAt = now.Add(s.pacer.FinishRead(ok, now.Sub(start)))
 	if !ok {
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// retransmitFactor times the bit length of the number of instances is how often one update is sent.
+	// retransmitFactor, multiplied by the bit length of the number of instances, is how often one update is sent.
 	retransmitFactor = 3
 	// deadRetention is how long a dead instance is remembered and still probed.
 	deadRetention = 2 * time.Hour
--- a/internal/core/member/member_test.go
+++ b/internal/core/member/member_test.go
@@ -55,7 +55,7 @@
 	return -1
 }
 
-// exchange lets a probe b and reports whether b answered.
+// exchange makes instance a probe instance b and reports whether b answered.
 func (c *cluster) exchange(a, b int) bool {
 	if c.dead[a] || c.dead[b] || c.partitioned(a, b) {
 		return false
@@ -97,7 +97,7 @@
 	}
 }
 
-// count returns how many live instances have the target in the state.
+// count returns the number of live instances that consider the target to be in the given state.
 func (c *cluster) count(target int, state model.MemberState) int {
 	n := 0
 	for k, l := range c.lists {
@@ -108,6 +108,7 @@
 	return n
 }
 
+// TestMembership checks that all instances agree on the state of a member after failures, restarts and partitions.
 func TestMembership(t *testing.T) {
 	cases := map[string]func(*is.I, *cluster){
 		"all instances are discovered": func(is *is.I, c *cluster) {
--- a/internal/peer/links/links.go
+++ b/internal/peer/links/links.go
@@ -99,7 +99,7 @@
 	return c, nil
 }
 
-// evict closes an arbitrary connection; l.mu must be held.
+// evict closes an arbitrary connection; p.mu must be held.
 func (p *Pool) evict() {
 	for addr, c := range p.clients {
 		delete(p.clients, addr)
--- a/internal/peer/mesh/probe.go
+++ b/internal/peer/mesh/probe.go
@@ -14,7 +14,7 @@
 			continue
 		}
 		if err := m.ping(ctx, s); err != nil {
-			m.cfg.Log.With("peer", s.ID).Debug("A listed instance did not answer its first probe; it is not a member yet.")
+			m.cfg.Log.With("peer", s.ID).Debug("An instance on the platform's list did not answer a probe; it is not a member of the mesh yet.")
 		}
 	}
 }
--- a/internal/peer/mesh/pull.go
+++ b/internal/peer/mesh/pull.go
@@ -12,7 +12,7 @@
 	from model.Member
 }
 
-// Push makes the mesh probe a few peers immediately, so that they learn of changes without waiting for their turn.
+// Push makes the mesh probe a few peers immediately, so that they receive changes before the next regular probe.
 func (m *Mesh) Push() {
 	m.pushRequests.Offer(struct{}{})
 }
--- a/internal/peer/share/delta.go
+++ b/internal/peer/share/delta.go
@@ -6,14 +6,14 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// maxDeltas is the number of publications that a caller may be behind without needing a full reply: half a minute at one change per second.
+// maxDeltas is the number of publications that a caller may have missed without needing a full reply: half a minute at one change per second.
 const maxDeltas = 32
 
-// delta holds the names of the entries that one publication changed.
+// delta holds the names of the upstreams and routes that one publication changed.
 type delta struct {
 	// from is the digest of the snapshot before the publication.
 	from uint64
-	// upstreams and routes hold the new and changed entries, deletedUpstreams and deletedRoutes the deleted ones.
+	// upstreams and routes hold the new and changed ones, deletedUpstreams and deletedRoutes the deleted ones.
 	upstreams, routes, deletedUpstreams, deletedRoutes []string
 }
 
--- a/internal/peer/share/share.go
+++ b/internal/peer/share/share.go
@@ -67,9 +67,9 @@
 	latest model.Snapshot
 	// digest is that of latest; zero before the first snapshot.
 	digest uint64
-	// confirmed is when the store confirmed latest.
-	confirmed time.Time
-	// graceUntil is the end of the grace period after an outage of the store; until then, missing upstreams may come back.
+	// confirmedAt is when the store confirmed latest.
+	confirmedAt time.Time
+	// graceUntil is the end of the grace period after an outage of the store; until then, a missing registration is not conclusive.
 	graceUntil time.Time
 	// deltas holds the changes of the last publications, the oldest first; at most maxDeltas.
 	deltas []delta
@@ -117,7 +117,7 @@
 		s.deltas = s.deltas[max(len(s.deltas)-maxDeltas, 0):]
 	}
 	s.digest = digest
-	s.latest, s.confirmed, s.graceUntil = snap, now.Add(-snap.Age), now.Add(snap.GraceLeft)
+	s.latest, s.confirmedAt, s.graceUntil = snap, now.Add(-snap.Age), now.Add(snap.GraceLeft)
 	s.notifyWaiters()
 }
 
@@ -195,7 +195,7 @@
 	}
 	now := time.Now()
 	snap := s.latest
-	snap.Age, snap.GraceLeft = now.Sub(s.confirmed), max(s.graceUntil.Sub(now), 0)
+	snap.Age, snap.GraceLeft = now.Sub(s.confirmedAt), max(s.graceUntil.Sub(now), 0)
 	s.fillReply(&snap, args.Have, reply)
 	reply.Doubts, reply.Spread = s.suspicionsAfter(args.Heard), s.suspicionSeq
 	if reply.Revision != 0 {
--- a/internal/peer/share/share_test.go
+++ b/internal/peer/share/share_test.go
@@ -139,8 +139,8 @@
 	p.Equal(len(got.Out), 0)
 }
 
-// TestBehind checks that a caller that is too far behind, or has no snapshot, gets a full reply.
-func TestBehind(t *testing.T) {
+// TestFullReply checks that a caller that is too far behind, or has no snapshot, gets a full reply.
+func TestFullReply(t *testing.T) {
 	p := newPair(t)
 	_, err := p.poller.Poll(p.ctx, p.readerAddr, model.Snapshot{}, 0)
 	p.True(err != nil)
--- a/internal/peer/share/wire.go
+++ b/internal/peer/share/wire.go
@@ -40,7 +40,7 @@
 	Age int64
 	// Unsure is the rest of the grace period after an outage of the store, in nanoseconds.
 	Unsure int64
-	// Index and Of are the caller's ordinal and the number of ordinals; Of is zero if no ordinal is assigned.
+	// Index and Of are the Index and Count of the caller's model.Ordinal; Of is zero if no ordinal is assigned.
 	Index, Of int
 	// Doubts holds the suspicions after NextArgs.Heard, and Spread is the sequence number of the last one.
 	Doubts DoubtArgs
@@ -51,13 +51,13 @@
 	GoneRoutes    []string
 	// Upstreams holds all upstreams, or the new and changed ones.
 	Upstreams []Upstream
-	// Unreadable holds the names of upstreams whose entries cannot be parsed.
+	// Unreadable holds the names of upstreams whose registrations cannot be parsed.
 	Unreadable []string
 	// ListedAt is the revision of the list of upstreams.
 	ListedAt uint64
 	// Routes holds the route configuration with all routes, or with the new and changed ones.
 	Routes Routes
-	// Out holds the failure domains that operators have taken out, as of revision OutAt.
+	// Out holds the failure domains that operators have taken out of service, as of revision OutAt.
 	Out   []string
 	OutAt uint64
 }
@@ -129,7 +129,7 @@
 	return out
 }
 
-// nameFilter returns a function that reports whether a reply includes the entry with a name.
+// nameFilter returns a function that reports whether a reply of the given scope includes the upstream or route with a name.
 func nameFilter(sc scope, changed []string) func(name string) bool {
 	if sc == scopeAll {
 		return func(string) bool { return true }
--- a/internal/plat/object/object.go
+++ b/internal/plat/object/object.go
@@ -156,8 +156,8 @@
 	c.positions[name] = max(c.positions[name], rev)
 }
 
-// Put replaces an object that is still at the given version, or creates it if that is zero. It returns the new version, or ErrConflict if the
-// object is at another version or exists already.
+// Put replaces an object that is still at the given version, or creates it if the version is zero. It returns the new version, or ErrConflict
+// if the object is at another version or exists already.
 func (c *Client) Put(ctx context.Context, name string, at model.Version, body []byte) (v model.Version, err error) {
 	defer annotate(&err, "write object %s", name)
 	if c.addrErr != nil {
@@ -190,7 +190,7 @@
 	return Object{Version: model.Version(obj.Revision), Body: []byte(body)}, nil
 }
 
-// annotate wraps a non-nil *err; it is meant to be deferred.
+// annotate wraps *err, if it is not nil, with the formatted message; it is meant to be deferred.
 func annotate(err *error, format string, args ...any) {
 	if *err != nil {
 		*err = eris.Wrapf(*err, format, args...)
--- a/internal/plat/object/object_test.go
+++ b/internal/plat/object/object_test.go
@@ -23,6 +23,7 @@
 	client *object.Client
 }
 
+// TestClient checks reads, conditional writes and watches of objects against the fake platform.
 func TestClient(t *testing.T) {
 	cases := map[string]func(*fixture){
 		"an object that does not exist": func(f *fixture) {
--- a/internal/run/entry/act.go
+++ b/internal/run/entry/act.go
@@ -75,7 +75,7 @@
 	return e.wrap(e.front, e.cfg.Fabric, answerFrame(a.Answer.Flow, raw))
 }
 
-// reply encodes an answer that this instance gives by itself. Opaque datagrams and callers' acknowledgements get none.
+// reply encodes an answer that this instance generates itself. Opaque datagrams and callers' acknowledgements and rejections get none.
 func (e *Entry) reply(a *model.Action) (d datagram, err error) {
 	if a.Packet.Class == model.ClassFlow || a.Packet.Class == model.ClassReply {
 		return d, nil
--- a/internal/run/entry/entry.go
+++ b/internal/run/entry/entry.go
@@ -70,7 +70,7 @@
 	handOffAddrs map[model.InstanceID]netip.AddrPort
 
 	stopOnce sync.Once
-	// decideStopped is set once the decision loop has been told to stop, so that submit does not wait for it.
+	// decideStopped is set when the decision loop is stopped, so that submit does not block any longer.
 	decideStopped atomic.Bool
 }
 
@@ -220,7 +220,7 @@
 	case <-work.Done():
 		return nil
 	}
-	e.logger("entry").Info("Graceful shutdown has started; new work goes to peers.")
+	e.logger("entry").Info("Graceful shutdown has started; new requests and flows go to other instances.")
 	e.mesh.Leave()
 	stopped := make(chan struct{})
 	e.submit(func(now model.Instant) { e.engine.Stop(now) })
--- a/internal/run/entry/health.go
+++ b/internal/run/entry/health.go
@@ -25,7 +25,7 @@
 	Connections int    `json:"connections"`
 }
 
-// pollHealth periodically checks the upstreams for which this instance is the designated prober.
+// pollHealth periodically polls the health endpoints of the upstreams whose primary is this instance.
 func (e *Entry) pollHealth(ctx context.Context) error {
 	client := &http.Client{Timeout: healthTimeout}
 	for ctx.Err() == nil {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// pollAll checks upstreams in parallel and returns when all of them have been checked.
+// pollAll polls upstreams in parallel and returns when all of them have been polled.
 func (e *Entry) pollAll(ctx context.Context, client *http.Client, ups []model.Upstream) {
 	var g errgroup.Group
 	g.SetLimit(healthConcurrency)
--- a/internal/run/entry/objects.go
+++ b/internal/run/entry/objects.go
@@ -61,7 +61,8 @@
 	}
 	if err := e.install(kind, version, body); err != nil {
 		e.counts.Counter("objects.unreadable").Inc(1)
-		e.logger("objects").With("version", version).With("error", err).Error("A new object version cannot be parsed; the previous version stays active.")
+		e.logger("objects").With("version", version).With("error", err).
+			Error("A new version of the configuration document or of the binding keys cannot be parsed; the previous version stays active.")
 		return
 	}
 	o.version, o.body = version, body
@@ -162,7 +163,7 @@
 	return first == e.self.ID || second == e.self.ID
 }
 
-// rotateKeys adds a binding key for the document's key epoch when there is none yet.
+// rotateKeys adds a binding key for the document's key epoch as soon as the newest key is of an earlier epoch.
 func (e *Entry) rotateKeys(ctx context.Context) {
 	for ctx.Err() == nil {
 		sleep(ctx, rotateInterval)
@@ -202,7 +203,7 @@
 	}
 }
 
-// refetch reads an object that another instance has written first.
+// refetch reads an object after a write conflict, which means that another instance has written it first.
 func (e *Entry) refetch(ctx context.Context, kind mesh.Kind) {
 	obj, err := e.platform.Get(ctx, objectNames[kind])
 	if err == nil {
--- a/internal/run/entry/peers.go
+++ b/internal/run/entry/peers.go
@@ -19,8 +19,8 @@
 
 // instanceList summarises the platform's list of instances.
 type instanceList struct {
-	// live holds the domains with at least one listed instance.
-	live map[model.DomainID]bool
+	// domains holds the failure domains with at least one listed instance.
+	domains map[model.DomainID]bool
 }
 
 // MembersChanged implements mesh.Host.
@@ -44,7 +44,7 @@
 	}
 	out := map[model.DomainID]bool{}
 	for _, m := range members {
-		out[m.Domain] = e.mesh.DomainDown(m.Domain) && !list.live[m.Domain]
+		out[m.Domain] = e.mesh.DomainDown(m.Domain) && !list.domains[m.Domain]
 	}
 	return out
 }
@@ -93,7 +93,7 @@
 	if list == nil {
 		return false
 	}
-	for domain := range list.live {
+	for domain := range list.domains {
 		if e.mesh.DomainDown(domain) {
 			return false
 		}
@@ -108,13 +108,13 @@
 		e.counts.Counter("platform.list_failed").Inc(1)
 		return
 	}
-	live := map[model.DomainID]bool{}
+	domains := map[model.DomainID]bool{}
 	var seeds []model.Member
 	for _, in := range list {
-		live[in.Domain] = true
+		domains[in.Domain] = true
 		seeds = append(seeds, model.Member{ID: in.ID, Domain: in.Domain, Control: in.Control})
 	}
-	e.platformList.Store(&instanceList{live: live})
+	e.platformList.Store(&instanceList{domains: domains})
 	e.mesh.Seed(ctx, seeds)
 	e.MembersChanged(e.mesh.Members())
 	e.submit(func(model.Instant) { e.engine.SetPeersContacted() })
--- a/internal/run/entry/sockets.go
+++ b/internal/run/entry/sockets.go
@@ -86,7 +86,7 @@
 }
 
 // enqueueAnswer classifies an upstream's datagram and queues it for the decision loop; it drops the datagram if the queue is full. handedOff
-// is set if the datagram came by way of a peer.
+// is set if the datagram was handed off by a peer.
 func (e *Entry) enqueueAnswer(f frame.Frame, from netip.AddrPort, handedOff bool) {
 	flow := model.FlowKey{Caller: f.Dest, Service: f.Source}
 	a, err := e.classifyAnswer(flow, f.Payload)
--- a/internal/run/relay/bootstrap.go
+++ b/internal/run/relay/bootstrap.go
@@ -7,9 +7,9 @@
 	"hawthorncourse/internal/core/model"
 )
 
-// bootstrap lets an instance serve before its first read is complete, as soon as it has the routes, the failure domains that are out, and
-// the first page of the upstreams. Packets of flows to the remaining upstreams are dropped until the read is complete; callers retransmit
-// them.
+// bootstrap lets an instance serve before its first read is complete, as soon as it has the routes, the failure domains that are out of
+// service, and the first page of the upstreams. Packets of flows to the remaining upstreams are dropped until the read is complete; callers
+// retransmit them.
 type bootstrap struct {
 	relay *Relay
 	ctx   context.Context
@@ -18,7 +18,7 @@
 	// The fields below are guarded by mu.
 
 	table *model.RouteTable
-	// out holds the failure domains that are out; outRead is set once they have been read, as the list may be empty.
+	// out holds the failure domains that are out of service; outRead is set once they have been read, as the list may be empty.
 	out     []model.DomainID
 	outRead bool
 	// pending holds upstreams that the engine does not have yet.
@@ -30,7 +30,7 @@
 	b.update(func() { b.table = &t })
 }
 
-// domainsOut adds the failure domains that are out.
+// domainsOut adds the failure domains that are out of service.
 func (b *bootstrap) domainsOut(list []model.DomainID) {
 	b.update(func() { b.out, b.outRead = list, true })
 }
@@ -40,8 +40,8 @@
 	b.update(func() { b.pending = append(b.pending, list...) })
 }
 
-// update runs set. Once there is something of every kind, it passes what is new to the engine and makes the instance ready. It does nothing if
-// b is nil, which is the case for an instance that is already serving.
+// update runs set. Once routes, failure domains and upstreams are available, it passes the new ones to the engine and makes the instance
+// ready. It does nothing if b is nil, which is the case for an instance that is already serving.
 func (b *bootstrap) update(set func()) {
 	if b == nil {
 		return
--- a/internal/run/relay/counters.go
+++ b/internal/run/relay/counters.go
@@ -29,7 +29,7 @@
 	reason model.Reason
 }
 
-// ioReasons are the reasons for drops outside the engine, some of which other goroutines than the decision loop count.
+// ioReasons are the reasons for drops outside the engine. Some of these drops are counted by goroutines other than the decision loop.
 var ioReasons = []model.Reason{model.ReasonMalformed, model.ReasonRingFull, model.ReasonSendFailed, model.ReasonReceiveFailed}
 
 func newActionCounters(set *count.Set) *actionCounters {
--- a/internal/run/relay/decide.go
+++ b/internal/run/relay/decide.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// tickInterval bounds how late expired entries are noticed; a shorter interval costs processor time.
+	// tickInterval bounds how late the expiry of flows, tags and suspicions is noticed; a shorter interval costs processor time.
 	tickInterval = 100 * time.Millisecond
 	// ringRetryDelay is how long a goroutine waits before it retries a full queue.
 	ringRetryDelay = 5 * time.Millisecond
@@ -81,8 +81,8 @@
 	}
 }
 
-// handleStall records a stall of the process, so that probes that time out because of it are inconclusive. After a stall longer than share.CallMargin the ordinal is
-// given up, as it may have been assigned to another instance.
+// handleStall records a stall of the process, so that probes that time out because of it are inconclusive. After a stall longer than
+// share.CallMargin it discards the ordinal, as it may have been assigned to another instance.
 func (r *Relay) handleStall(now model.Instant, delay time.Duration) {
 	if delay > 0 {
 		r.lastStall.Store(int64(now))
--- a/internal/run/relay/follow.go
+++ b/internal/run/relay/follow.go
@@ -51,7 +51,8 @@
 			f.readStore(ctx)
 		}
 		if s.IsReader() != wasReader {
-			r.logger("platform").With("reading", s.IsReader()).With("holder", s.ReaderRecord().Holder).Info("The instance has become or ceased to be the reader of its failure domain.")
+			r.logger("platform").With("reading", s.IsReader()).With("holder", s.ReaderRecord().Holder).
+				Info("The reader role of the failure domain has changed; while reading is true, this instance reads the platform's store for the others.")
 		}
 	}
 	return nil
@@ -134,7 +135,7 @@
 	case err != nil && !f.storeDown:
 		log.With("error", err).Warn("The platform's store does not answer; the last snapshot stays in use.")
 	case err == nil && f.storeDown:
-		log.Info("The platform's store answers again.")
+		log.Info("The platform's store answers again; the snapshot is being refreshed.")
 	}
 	f.storeDown = err != nil
 }
--- a/internal/run/relay/read.go
+++ b/internal/run/relay/read.go
@@ -91,7 +91,7 @@
 	return err
 }
 
-// reportUnreadable counts entries that could not be parsed, and logs the routes among them.
+// reportUnreadable counts registrations and route configurations that cannot be parsed, and logs the names of the latter.
 func (r *Relay) reportUnreadable(upstreams int, routes []string) {
 	r.counts.Counter("platform.unreadable_upstreams").Inc(int64(upstreams))
 	if len(routes) > 0 {
--- a/internal/run/relay/record.go
+++ b/internal/run/relay/record.go
@@ -95,7 +95,7 @@
 	return log.WithAll(fields)
 }
 
-// logOmitted logs the number of lines that the rate limits have omitted, and of those lost by the log writer.
+// logOmitted logs the number of lines that the rate limits have omitted, and the number of those that the log writer has lost.
 func (r *Relay) logOmitted(now model.Instant) {
 	for _, omitted := range append(r.recorder.decisions.NextWindow(time.Duration(now)), r.recorder.stateChanges.NextWindow(time.Duration(now))...) {
 		r.counts.Counter("log.left_out." + omitted.Kind).Inc(int64(omitted.Lines))
@@ -130,7 +130,7 @@
 			continue
 		}
 		withUpstream(r.logger("roster"), ev.Upstream).With("service", ev.Upstream.Service).With("draining", ev.Upstream.Draining).
-			Info("The registration state of an upstream has changed.")
+			Info("The registration state or the draining flag of an upstream has changed.")
 	}
 	if isolated := r.engine.Isolated(); isolated != r.isolated.Swap(isolated) {
 		r.logger("relay").With("isolated", isolated).Warn("The reachability of the upstreams has changed; while isolated is true, none is reachable and the readiness check fails.")
--- a/internal/run/relay/relay.go
+++ b/internal/run/relay/relay.go
@@ -87,7 +87,8 @@
 	Metrics netip.AddrPort
 	// Codec parses and builds packets.
 	Codec Codec
-	// Upstreams, Routes and DomainsOut read the platform's store; DomainsOut lists the failure domains that operators have taken out.
+	// Upstreams, Routes and DomainsOut read the platform's store; DomainsOut lists the failure domains that operators have taken out of
+	// service.
 	Upstreams  Source[model.Registration]
 	Routes     Source[model.RouteTable]
 	DomainsOut Source[model.DomainID]
@@ -108,7 +109,7 @@
 
 	engine *direct.Engine
 	share  *share.Share
-	// snapshot is the current snapshot of the platform's store, and outages tracks for how long a missing entry may come back after an
+	// snapshot is the current snapshot of the platform's store, and outages tracks how long a missing registration is not conclusive after an
 	// outage of the store. Both are guarded by snapshotMu.
 	snapshotMu sync.Mutex
 	snapshot   model.Snapshot
@@ -154,7 +155,7 @@
 	confirmedAt atomic.Int64
 	recorder    recorder
 	// stall is used by the decision loop only.
-	stall *stall
+	stall *stallDetector
 	// handshakes and answers are the histograms of the latencies that the engine measures.
 	handshakes, answers tally.Histogram
 	// datagram is the send buffer of the decision loop.
@@ -183,7 +184,7 @@
 		commands:   ring.New[command](commandRingSize),
 		suspicions: ring.New[model.Suspicion](suspicionRingSize),
 		refresh:    make(chan struct{}, 1),
-		stall:      newStall(bootClock),
+		stall:      newStallDetector(bootClock),
 	}
 	r.limits.Store(&cfg.Limits)
 	r.ordinal.Store(&model.Ordinal{})
--- a/internal/run/relay/stall.go
+++ b/internal/run/relay/stall.go
@@ -18,9 +18,9 @@
 	staleDrainTime = 100 * time.Millisecond
 )
 
-// stall detects stalls of the process by how late the decision loop's timer fires. It uses the monotonic clock and the boot-time clock, which
-// also advances while the machine is suspended.
-type stall struct {
+// stallDetector detects stalls of the process by how late the decision loop's timer fires. It uses the monotonic clock and the boot-time
+// clock, which also advances while the machine is suspended.
+type stallDetector struct {
 	// expected and bootExpected are when the timer should fire, by each clock.
 	expected     model.Instant
 	bootExpected time.Duration
@@ -30,17 +30,17 @@
 	staleUntil model.Instant
 }
 
-func newStall(bootTime func() time.Duration) *stall {
-	return &stall{bootTime: bootTime}
+func newStallDetector(bootTime func() time.Duration) *stallDetector {
+	return &stallDetector{bootTime: bootTime}
 }
 
 // expect records that the timer is due after wait.
-func (s *stall) expect(now model.Instant, wait time.Duration) {
+func (s *stallDetector) expect(now model.Instant, wait time.Duration) {
 	s.expected, s.bootExpected = now.Add(wait), s.bootTime()+wait
 }
 
 // timerFired returns how late the timer fired, or zero if the delay is within stallThreshold.
-func (s *stall) timerFired(now model.Instant) time.Duration {
+func (s *stallDetector) timerFired(now model.Instant) time.Duration {
 	delay := max(now.Sub(s.expected), s.bootTime()-s.bootExpected)
 	if delay > staleThreshold {
 		s.staleUntil = now.Add(staleDrainTime)
@@ -52,7 +52,7 @@
 }
 
 // stale reports whether a packet taken from the queue now may have been received before or during a long stall.
-func (s *stall) stale(now model.Instant) bool {
+func (s *stallDetector) stale(now model.Instant) bool {
 	if s.bootTime()-s.bootExpected > staleThreshold {
 		// The stall has just ended, and the packet was selected before the overdue timer.
 		s.staleUntil = now.Add(staleDrainTime)
--- a/internal/run/relay/stall_test.go
+++ b/internal/run/relay/stall_test.go
@@ -31,7 +31,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var boot time.Duration
-			s := newStall(func() time.Duration { return boot })
+			s := newStallDetector(func() time.Duration { return boot })
 			now := model.Instant(time.Minute)
 			s.expect(now, 100*time.Millisecond)
 			now, boot = now.Add(100*time.Millisecond+tc.steady), 100*time.Millisecond+tc.boot
--- a/internal/run/relay/stop.go
+++ b/internal/run/relay/stop.go
@@ -8,7 +8,8 @@
 const (
 	// routerDetectTime is how long routers take to detect that the instance is not ready: two checks half a second apart, plus network delay.
 	routerDetectTime = 1200 * time.Millisecond
-	// quietPeriod exceeds the longest interval at which callers retransmit packets to an instance that the routers have just taken out.
+	// quietPeriod exceeds the longest interval at which callers retransmit packets to an instance that the routers have just taken out of
+	// rotation.
 	quietPeriod = 500 * time.Millisecond
 	// stopMargin is the time left before the process would be killed.
 	stopMargin = 500 * time.Millisecond
@@ -37,8 +38,8 @@
 	return nil
 }
 
-// shutdownComplete reports whether a graceful shutdown may end that started since ago, received its last packet quiet ago and must end within
-// the given time.
+// shutdownComplete reports whether a graceful shutdown is complete; since is the time from its start, quiet the time from the last packet, and
+// within the time within which it must be complete.
 func shutdownComplete(since, quiet, within time.Duration) bool {
 	if since >= within-stopMargin {
 		return true
