--- a/internal/base/logs/limiter.go
+++ b/internal/base/logs/limiter.go
@@ -28,7 +28,8 @@
 	Lines int
 }
 
-// Allow reports whether a line of the kind may be written now, and counts it. The time is a reading of any monotonic clock.
+// Allow reports whether a line of the kind may be written now, and counts it. The time is a reading of any monotonic clock. Once the window is
+// over, all lines are allowed until NextWindow starts the next one.
 func (l *Limiter) Allow(now time.Duration, kind string) bool {
 	if l.kinds == nil {
 		l.kinds = map[string]*lineCounts{}
--- a/internal/conf/config/config.go
+++ b/internal/conf/config/config.go
@@ -86,8 +86,9 @@
 	domains map[model.DomainID]bool
 	// ids holds the used IDs, each preceded by the kind of its object and a space.
 	ids map[string]bool
-	// addresses maps each used address to the path of its field's object.
-	addresses  map[netip.AddrPort]string
+	// addresses maps each used address to the path of the service or upstream that uses it.
+	addresses map[netip.AddrPort]string
+	// tags maps the tag of each used upstream ID, a 32-bit hash, to the ID; two IDs must not have the same tag.
 	tags       map[model.UpstreamTag]model.UpstreamID
 	domainRefs []domainRef
 }
--- a/internal/conf/setup/setup.go
+++ b/internal/conf/setup/setup.go
@@ -22,9 +22,9 @@
 	Domain model.DomainID
 	// Front is the UDP listen address for callers' packets, which arrive from the network fabric.
 	Front netip.AddrPort
-	// Back is the UDP address that sends packets to upstreams and receives their answers.
+	// Back is the local UDP address from which packets are sent to upstreams, and at which their answers arrive.
 	Back netip.AddrPort
-	// HandOff is the UDP listen address for packets that other instances hand to this one.
+	// HandOff is the UDP listen address for packets that other instances hand off to this one.
 	HandOff netip.AddrPort
 	// Control is the TCP listen address for calls from other instances.
 	Control netip.AddrPort
@@ -32,7 +32,7 @@
 	Admin netip.AddrPort
 	// Advertise is the control address that other instances connect to; the default is Control.
 	Advertise netip.AddrPort
-	// AdvertiseHandOff is the address that other instances hand packets to; the default is HandOff.
+	// AdvertiseHandOff is the address to which other instances hand off packets; the default is HandOff.
 	AdvertiseHandOff netip.AddrPort
 	// Fabric is the address in the network fabric to which packets for callers are sent.
 	Fabric netip.AddrPort
--- a/internal/oper/change/change.go
+++ b/internal/oper/change/change.go
@@ -45,7 +45,7 @@
 
 // ConflictError means that another operator changed the document after the version that a change was based on.
 type ConflictError struct {
-	// Current is the document that is now in force.
+	// Current is the active document.
 	Current StoredDocument
 }
 
--- a/internal/oper/forms/forms.go
+++ b/internal/oper/forms/forms.go
@@ -71,7 +71,7 @@
 	})
 }
 
-// overviewPage is the data of the "overview" page, which shows the document in force.
+// overviewPage is the data of the "overview" page, which shows the active document.
 type overviewPage struct {
 	Draft change.StoredDocument
 	Empty bool
@@ -79,7 +79,7 @@
 	Force rolloutStatus
 }
 
-// rolloutStatus states how many instances have put a document version in force.
+// rolloutStatus states how many instances use a document version or a later one.
 type rolloutStatus struct {
 	Version model.Version
 	// Have is the number of instances at Version or later, Asked that of all instances.
@@ -89,12 +89,12 @@
 	// streams is the number of open streams per upstream, Streams their sum.
 	streams map[model.UpstreamID]int
 	Streams int
-	// OldestInstance is the instance furthest behind Version, and OldestOfVersion the version that it has in force; empty if none is behind.
+	// OldestInstance is the instance furthest behind Version, and OldestOfVersion its active version; empty if none is behind.
 	OldestInstance  string
 	OldestOfVersion uint64
 }
 
-// overview serves the document in force and its rollout status.
+// overview serves the active document and its rollout status.
 func (c *Console) overview(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
@@ -133,7 +133,7 @@
 	return s
 }
 
-// document serves the text of the document in force.
+// document serves the text of the active document.
 func (c *Console) document(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
--- a/internal/oper/forms/forms_test.go
+++ b/internal/oper/forms/forms_test.go
@@ -74,13 +74,13 @@
 			code, _ := c.do(http.MethodGet, "/", nil, "guess")
 			c.Equal(code, http.StatusUnauthorized)
 		},
-		"overview shows the document in force": func(c *testConsole) {
+		"overview shows the active document": func(c *testConsole) {
 			code, page := c.do(http.MethodGet, "/", nil, token)
 			c.Equal(code, http.StatusOK)
 			c.True(strings.Contains(page, "Version 2 by first"))
 			c.True(strings.Contains(page, "order-desk-1"))
 		},
-		"form is filled from the document in force": func(c *testConsole) {
+		"form is filled from the active document": func(c *testConsole) {
 			_, page := c.do(http.MethodGet, "/edit?kind=upstream&service=order-desk&id=order-desk-1", nil, token)
 			c.True(strings.Contains(page, `name="slots" value="3"`))
 		},
--- a/internal/oper/forms/send.go
+++ b/internal/oper/forms/send.go
@@ -23,7 +23,8 @@
 	Base        model.Version
 	Differences []change.Difference
 	Effects     []change.Effect
-	Grave       bool
+	// Grave is set if one of Effects needs an explicit confirmation.
+	Grave bool
 	// Conflict describes a concurrent change by another operator; empty for none.
 	Conflict string
 	Error    string
@@ -47,7 +48,7 @@
 	c.render(w, "review", c.buildReview(ctx, r.PostForm, ""))
 }
 
-// buildReview returns the review of the form's change to the document in force.
+// buildReview returns the review of the form's change to the active document.
 func (c *Console) buildReview(ctx context.Context, form url.Values, conflict string) reviewPage {
 	page := reviewPage{Form: changeFields(form), Conflict: conflict, Edit: refilledPage(form)}
 	d, text, err := c.applyForm(ctx, form)
@@ -69,7 +70,7 @@
 	return page
 }
 
-// applyForm returns the document in force and its text with the form's change applied.
+// applyForm returns the active document and its text with the form's change applied.
 func (c *Console) applyForm(ctx context.Context, form url.Values) (change.StoredDocument, []byte, error) {
 	d, err := change.Read(ctx, c.cfg.Platform)
 	if err != nil {
@@ -128,7 +129,7 @@
 	return change.Submit(ctx, c.cfg.Platform, d, text, author)
 }
 
-// awaitRollout waits up to rolloutTimeout until every instance that answers has version v in force, and returns the last status.
+// awaitRollout waits up to rolloutTimeout until every instance that answers uses version v or a later one, and returns the last status.
 func (c *Console) awaitRollout(ctx context.Context, v model.Version) rolloutStatus {
 	deadline := time.Now().Add(rolloutTimeout)
 	for {
--- a/internal/oper/shell/document.go
+++ b/internal/oper/shell/document.go
@@ -122,7 +122,7 @@
 	return exitSuccess
 }
 
-// showCommand prints the document in force.
+// showCommand prints the active document.
 type showCommand struct {
 	platformFlags
 }
--- a/internal/oper/shell/entry.go
+++ b/internal/oper/shell/entry.go
@@ -14,7 +14,7 @@
 	"hawthorncourse/internal/run/entry"
 )
 
-// entryCommand runs one entry instance.
+// entryCommand runs one entry instance, which forwards callers' packets to upstreams and the answers back to the callers.
 type entryCommand struct {
 	settings string
 }
--- a/internal/oper/shell/relay.go
+++ b/internal/oper/shell/relay.go
@@ -23,7 +23,7 @@
 // whether an edit took effect.
 const settingsPollInterval = 2 * time.Second
 
-// relayCommand runs one relay instance, which forwards flows by routing tag.
+// relayCommand runs one relay instance, which forwards callers' packets to upstreams by routing tag; the upstreams answer callers directly.
 type relayCommand struct {
 	metricsPort uint
 }
@@ -113,7 +113,7 @@
 	relay  *relay.Relay
 	client *platform.Client
 	log    *logrus.Logger
-	// settings are those in force; after the start only the goroutine that watches the file uses them.
+	// settings holds the active settings; after the start only the goroutine that watches the file uses them.
 	settings platform.Settings
 }
 
--- a/internal/oper/status/relay.go
+++ b/internal/oper/status/relay.go
@@ -12,7 +12,7 @@
 	Domain   model.DomainID
 	// Ready is set while the instance accepts packets.
 	Ready bool
-	// Snapshot is the platform data in force at the instance.
+	// Snapshot is the instance's current snapshot of the platform's store.
 	Snapshot model.Snapshot
 	// Ordinal is the position of the instance among those of its failure domain.
 	Ordinal model.Ordinal
--- a/internal/oper/status/status.go
+++ b/internal/oper/status/status.go
@@ -19,7 +19,7 @@
 type Report struct {
 	Instance model.InstanceID
 	Domain   model.DomainID
-	// Document and Keys are the versions in force.
+	// Document and Keys are the versions of the active document and binding keys.
 	Document  model.Version
 	Keys      model.Version
 	Members   []model.Member
--- a/internal/oper/story/story.go
+++ b/internal/oper/story/story.go
@@ -21,7 +21,7 @@
 const maxLineBytes = 1 << 20
 
 // contextWindow is how long before a flow's first line and after its last line the log lines about its upstreams are included. It covers
-// the 3.6 s after which the registry entry of an upstream that sends no heartbeats expires.
+// the 3.6 s after which the registration of an upstream that no longer refreshes it expires.
 const contextWindow = 5 * time.Second
 
 // Entry is one line of a log.
--- a/internal/wire/coap/coap.go
+++ b/internal/wire/coap/coap.go
@@ -1,4 +1,4 @@
-// Package coap classifies CoAP datagrams and encodes the responses that instances generate themselves. Bindings travel in the Echo option.
+// Package coap classifies CoAP datagrams and encodes the responses that instances generate themselves. The Echo option carries bindings.
 package coap
 
 import (
--- a/internal/wire/coap/coap_test.go
+++ b/internal/wire/coap/coap_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestReplies(t *testing.T) {
+func TestReject(t *testing.T) {
 	is := is.New(t)
 	p, err := coap.ParsePacket(flow, encode(t, request(codes.POST)))
 	is.NoErr(err)
--- a/internal/wire/frame/frame.go
+++ b/internal/wire/frame/frame.go
@@ -34,11 +34,11 @@
 type Frame struct {
 	// Source and Dest are the caller and the service, or the reverse for answers.
 	Source, Dest netip.AddrPort
-	// Boot identifies the start of the upstream that sent an answer, from the unique ID TLV; zero if absent.
+	// Boot identifies the run of the upstream that sent an answer, from the unique ID TLV; zero if absent.
 	Boot model.BootID
-	// Hops is the number of instances that have handed the packet to another instance.
+	// Hops is the number of hand-offs of the packet between instances so far.
 	Hops uint8
-	// From is the address of the upstream that sent an answer which is handed between instances; otherwise invalid.
+	// From is the address of the upstream that sent the answer, in answers that are handed off between instances; otherwise invalid.
 	From netip.AddrPort
 	// Upstream is the upstream that the sending instance has determined for the packet; empty if none.
 	Upstream model.UpstreamID
