--- a/internal/proof/direct/direct_test.go
+++ b/internal/proof/direct/direct_test.go
@@ -22,7 +22,7 @@
 // steadyTime is how long the system runs while requests or new flows are counted.
 const steadyTime = 2 * time.Second
 
-// TestPlanned guards against planned changes that fail requests or break flows: graceful restarts, changed settings, draining upstreams, failure
+// TestPlanned guards against planned changes that fail requests or break flows: graceful shutdowns, changed settings, draining upstreams, failure
 // domains taken out of service, and changed or unreadable configurations. It applies each under load, and checks that the change takes effect
 // within its time bound and that every request is served.
 func TestPlanned(t *testing.T) {
@@ -53,6 +53,7 @@
 			change(s.Processes[1], false, "Changed settings have been applied", halveStaleness)
 			change(s.Processes[2], true, "Changed settings cannot be used", func(set *stand.Settings) { set.Store = netip.AddrPort{} })
 			change(s.Processes[3], true, "listen.ready-addr", func(set *stand.Settings) { set.Ready = feedAddress })
+			// The instance still serves readiness checks at its old address, and the routers check the address in Settings.
 			s.Processes[3].Settings.Ready = netip.AddrPortFrom(s.Processes[3].Settings.Packets.Addr(), s.Processes[0].Settings.Ready.Port())
 			s.upstreams[0].Drain()
 			time.Sleep(changeLimit)
@@ -120,7 +121,7 @@
 func TestFaults(t *testing.T) {
 	cases := map[string]struct {
 		fault func(*system)
-		// settle is how long requests may fail after the fault; zero if none may fail after it.
+		// settle is how long requests may still fail after the fault was injected; zero if none may.
 		settle time.Duration
 		after  func(*system)
 	}{
@@ -172,12 +173,12 @@
 				s.await(startTimeout, "readiness of an instance that started without the store", s.Processes[2].Ready)
 			},
 		},
-		"entries of upstreams expire while the store is unavailable": {
+		"registrations of upstreams expire while the store is unavailable": {
 			fault: func(s *system) {
 				s.Store.SetOutage(stand.OutageUnavailable)
 				time.Sleep(2 * time.Second)
 				for _, u := range s.upstreams {
-					u.ExpireEntry()
+					u.ExpireRegistration()
 				}
 				s.Store.SetOutage(stand.OutageNone)
 				time.Sleep(2 * time.Second)
@@ -222,7 +223,7 @@
 }
 
 // TestStatusReport guards against status reports that omit or misstate what operators need. It checks one instance's status report, the output
-// of the status command and the metrics, with a failure domain out of service and unreadable entries in the registry.
+// of the status command and the metrics, with a failure domain out of service and unreadable registrations.
 func TestStatusReport(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -230,18 +231,18 @@
 	s.Store.EvacuateDomain("west")
 	s.Store.CorruptUpstreams()
 	p := s.Processes[0]
-	var w status.WireRelayReport
+	var report status.WireRelayReport
 	s.await(startTimeout, "ordinal and failure domains out of service in the status report", func() bool {
 		var err error
-		w, err = status.FetchRelay(s.ctx, p.MetricsAddress())
-		return err == nil && w.OrdinalCount > 0 && len(w.DomainsOut) == 1
+		report, err = status.FetchRelay(s.ctx, p.MetricsAddress())
+		return err == nil && report.OrdinalCount > 0 && len(report.DomainsOut) == 1
 	})
-	is.Equal(w.Instance, p.Settings.Name)
-	is.True(w.Ready)
-	is.Equal(w.Routes, 3)
-	is.Equal(len(w.Upstreams), len(s.upstreams))
-	is.Equal(len(w.Unreadable), 2)
-	is.True(w.AgeMs < changeLimit.Milliseconds())
+	is.Equal(report.Instance, p.Settings.Name)
+	is.True(report.Ready)
+	is.Equal(report.Routes, 3)
+	is.Equal(len(report.Upstreams), len(s.upstreams))
+	is.Equal(len(report.Unreadable), 2)
+	is.True(report.AgeMs < changeLimit.Milliseconds())
 	out, err := exec.Command(binary, "status", "-relay", p.MetricsAddress()).CombinedOutput()
 	is.NoErr(err)
 	for _, text := range []string{"failure domains out: [west]", s.upstreams[0].Name(), "claims"} {
@@ -264,12 +265,12 @@
 	routes := `{"version":7,"routes":[{"name":"a","hostname":"198.18.0.1","path-prefix":"/443/","route-type":"safe","service":"desk"}],"services":[]}`
 	cases := map[string]struct {
 		kind, text string
-		fault      string
+		wantError  string
 	}{
 		"settings":                      {kind: "-relay-settings", text: good},
-		"settings without a store":      {kind: "-relay-settings", text: strings.Replace(good, "[platform]", "[other]", 1), fault: "platform.address is missing"},
+		"settings without a store":      {kind: "-relay-settings", text: strings.Replace(good, "[platform]", "[other]", 1), wantError: "platform.address is missing"},
 		"a configuration":               {kind: "-relay-routes", text: routes},
-		"a configuration without ports": {kind: "-relay-routes", text: strings.Replace(routes, "/443/", "/", 1), fault: "route a"},
+		"a configuration without ports": {kind: "-relay-routes", text: strings.Replace(routes, "/443/", "/", 1), wantError: "route a"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -277,8 +278,8 @@
 			cmd := exec.Command(binary, "check", tc.kind, "-")
 			cmd.Stdin = strings.NewReader(tc.text)
 			out, err := cmd.CombinedOutput()
-			is.Equal(err != nil, tc.fault != "")
-			is.True(strings.Contains(string(out), tc.fault))
+			is.Equal(err != nil, tc.wantError != "")
+			is.True(strings.Contains(string(out), tc.wantError))
 		})
 	}
 }
--- a/internal/proof/direct/harness_test.go
+++ b/internal/proof/direct/harness_test.go
@@ -18,11 +18,11 @@
 
 const (
 	startTimeout = 15 * time.Second
-	// changeLimit is the users' time bound within which every change must be in force.
+	// changeLimit is the users' time bound within which every change must take effect.
 	changeLimit = 3 * time.Second
 	// stopLimit is the users' grace period, after which the platform would kill a stopping process.
 	stopLimit = 6 * time.Second
-	// requestTimeout and requestTime are those of the users' smaller requests.
+	// requestTimeout and requestTime are the time limit and the duration of the users' smaller requests.
 	requestTimeout = 2500 * time.Millisecond
 	requestTime    = 20 * time.Millisecond
 	// thinkTime is a caller's pause between two requests.
@@ -118,7 +118,7 @@
 			return
 		}
 	}
-	s.t.Fatalf("timeout: %s: not the case within %s", what, timeout)
+	s.t.Fatalf("waiting for %s: timed out after %s", what, timeout)
 }
 
 // checkServed checks that every request since the counts were last reset was served and no flow broke.
@@ -136,8 +136,8 @@
 	s.load.Stop()
 	executions := map[string]int{}
 	for _, u := range s.upstreams {
-		for _, fault := range u.Violations() {
-			s.t.Errorf("upstream %s: %s", u.Name(), fault)
+		for _, violation := range u.Violations() {
+			s.t.Errorf("upstream %s: %s", u.Name(), violation)
 		}
 		for id, n := range u.Executions() {
 			executions[id] += n
@@ -148,8 +148,8 @@
 			s.t.Errorf("request %s ran %d times", id, n)
 		}
 	}
-	for _, fault := range s.load.WrongResponses() {
-		s.t.Error(fault)
+	for _, violation := range s.load.WrongResponses() {
+		s.t.Error(violation)
 	}
 	for _, c := range s.Callers {
 		if n := c.CorruptPackets(); n > 0 {
@@ -163,13 +163,13 @@
 	}
 }
 
-// stopAndStart stops an instance gracefully and starts it again.
+// stopAndStart shuts an instance down gracefully and starts it again.
 func (s *system) stopAndStart(p *stage.Process) {
 	s.t.Helper()
 	code, err := p.Stop(stopLimit)
 	s.check(err)
 	if code != 0 {
-		s.t.Errorf("graceful stop: exit code %d", code)
+		s.t.Errorf("graceful shutdown: exit code %d", code)
 	}
 	s.check(p.Start())
 }
--- a/internal/proof/soak/checks_test.go
+++ b/internal/proof/soak/checks_test.go
@@ -19,8 +19,8 @@
 	// probeInterval is the pause between two route probes.
 	probeInterval = 50 * time.Millisecond
 	// restartDetectionLimit is the time within which instances detect that an upstream has restarted under its name. Until the registry shows
-	// the restart, only an instance that missed a response in between can detect it: with seed 16, one instance placed its next flow 431 ms after
-	// the previous one, when the upstream was up again.
+	// the restart, only an instance that missed a response in between can detect it: with seed 16, one instance placed its next flow after 431 ms,
+	// when the upstream was up again.
 	restartDetectionLimit = 1200 * time.Millisecond
 	// deliveryTime is how long a response in flight may take to arrive.
 	deliveryTime = 200 * time.Millisecond
@@ -28,16 +28,16 @@
 
 // changeTimes holds when the store acknowledged each change; the time bounds of the checks count from there.
 type changeTimes struct {
-	// drained holds when each upstream was marked as draining or its entry was removed, by upstream name.
+	// drained holds when each upstream was marked as draining or its registration was removed, by upstream name.
 	drained map[string]time.Time
-	// evacuations holds the intervals in which each failure domain was out of service.
-	evacuations map[string][]*interval
+	// domainsOut holds the intervals in which each failure domain was out of service.
+	domainsOut map[string][]*interval
 	// added and removed hold when each route was added and removed, by address.
 	added, removed map[netip.AddrPort]time.Time
 }
 
 func newChangeTimes() changeTimes {
-	return changeTimes{drained: map[string]time.Time{}, evacuations: map[string][]*interval{}, added: map[netip.AddrPort]time.Time{}, removed: map[netip.AddrPort]time.Time{}}
+	return changeTimes{drained: map[string]time.Time{}, domainsOut: map[string][]*interval{}, added: map[netip.AddrPort]time.Time{}, removed: map[netip.AddrPort]time.Time{}}
 }
 
 // probe is the result of one attempt to open a flow to a route through one instance, which shows whether the instance serves the route.
@@ -92,7 +92,7 @@
 	return addr, false
 }
 
-// checkReset checks, when a caller receives a reset, that its flow was not open at an upstream that no fault affects. It runs while the
+// checkReset checks, when a caller receives a reset, that its flow is not open at an upstream that no fault affects. It runs as soon as the
 // reset arrives, since the flow's state at the upstream is not recorded.
 func (r *run) checkReset(e *stand.ResetError) {
 	now := time.Now()
@@ -166,7 +166,7 @@
 	r.checkExecutions()
 	for _, u := range r.Upstreams() {
 		r.checkDrained(u)
-		r.checkEvacuated(u)
+		r.checkDomainOut(u)
 		r.checkColdStart(u)
 	}
 	r.checkRoutes()
@@ -182,8 +182,8 @@
 func (r *run) checkExecutions() {
 	executions := map[string]int{}
 	for _, u := range r.Upstreams() {
-		for _, fault := range u.Violations() {
-			r.addViolation("upstream %s: %s", u.Name(), fault)
+		for _, violation := range u.Violations() {
+			r.addViolation("upstream %s: %s", u.Name(), violation)
 		}
 		for id, n := range u.Executions() {
 			executions[id] += n
@@ -197,8 +197,8 @@
 			r.addViolation("request %s ran %d times", id, n)
 		}
 	}
-	for _, fault := range r.load.WrongResponses() {
-		r.addViolation("%s", fault)
+	for _, violation := range r.load.WrongResponses() {
+		r.addViolation("%s", violation)
 	}
 	for _, c := range r.Callers {
 		if n := c.CorruptPackets(); n > 0 {
@@ -215,7 +215,7 @@
 	return "desk"
 }
 
-// checkDrained checks that an upstream that drains or whose entry is removed receives no new flow after the time bound.
+// checkDrained checks that an upstream that drains or whose registration was removed receives no new flow after the time bound.
 func (r *run) checkDrained(u *stand.Upstream) {
 	since, drained := r.changes.drained[u.Name()]
 	if !drained {
@@ -230,12 +230,12 @@
 	}
 }
 
-// checkEvacuated checks that a failure domain that is out of service receives no new flow after the time bound.
-func (r *run) checkEvacuated(u *stand.Upstream) {
-	for _, out := range r.changes.evacuations[u.Domain()] {
+// checkDomainOut checks that an upstream receives no new flow after the time bound while its failure domain is out of service.
+func (r *run) checkDomainOut(u *stand.Upstream) {
+	for _, out := range r.changes.domainsOut[u.Domain()] {
 		for _, o := range u.Openings() {
 			sender := r.instanceAt(o.From)
-			if o.At.Sub(out.start) > evacuationLimit && (out.end.IsZero() || o.At.Before(out.end)) && r.faultLog.boundsApply(sender, o.At) {
+			if o.At.Sub(out.start) > domainOutLimit && (out.end.IsZero() || o.At.Before(out.end)) && r.faultLog.boundsApply(sender, o.At) {
 				r.addViolation("at %s: instance %s opened flow %s at upstream %s, whose failure domain had been out of service for %s",
 					r.timestamp(o.At), sender, o.Flow.Caller, u.Name(), o.At.Sub(out.start))
 			}
@@ -299,8 +299,8 @@
 	}
 }
 
-// checkNoRollback checks that no process goes back to an older configuration: once it has
-// served an added route or refused a removed one, it must not revert.
+// checkNoRollback checks that no process goes back to an older configuration: once it has served an added route or refused a removed one, it must
+// not revert.
 func (r *run) checkNoRollback() {
 	for i, earlier := range r.probes {
 		for _, later := range r.probes[i+1:] {
--- a/internal/proof/soak/faultlog_test.go
+++ b/internal/proof/soak/faultlog_test.go
@@ -8,7 +8,7 @@
 // storeComponent is the component name for faults of the store that affect all instances.
 const storeComponent = "store"
 
-// interval is the time of one fault; end is zero while the fault lasts.
+// interval is the time of one fault, or of one period in which a failure domain is out of service; end is zero while it lasts.
 type interval struct {
 	start, end time.Time
 }
@@ -16,7 +16,8 @@
 // faultLog records the intervals in which a fault affected each component: an instance, an upstream or the store.
 type faultLog struct {
 	mu sync.Mutex
-	// intervals is keyed by the component's name and guarded by mu.
+	// intervals is keyed by the component's name and guarded by mu. The key "pause " followed by an instance's name holds only the pauses of its
+	// process.
 	intervals map[string][]*interval
 }
 
--- a/internal/proof/soak/faults_test.go
+++ b/internal/proof/soak/faults_test.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// entryExpiry is the time after which the platform removes the entry of an upstream that is down.
-	entryExpiry = 3600 * time.Millisecond
+	// registrationExpiry is the time after which the platform removes the registration of an upstream that is down.
+	registrationExpiry = 3600 * time.Millisecond
 	// addressReuseDelay is the minimum time between the end of an upstream and the reuse of its address.
 	addressReuseDelay = 2 * time.Second
-	// reregistrationTime is how long the upstreams take to restore entries that expired during an outage of the store.
+	// reregistrationTime is how long the upstreams take to register again after their registrations expired during an outage of the store.
 	reregistrationTime = 2 * time.Second
 	// packetLossRate is the fraction of callers' packets that is lost.
 	packetLossRate = 0.1
@@ -38,7 +38,7 @@
 	}
 }
 
-// kill kills one instance and restarts it after the short time.
+// kill kills one instance and restarts it after the short time of the draw.
 func (inj *injector) kill(d draw) {
 	inj.killOne(inj.processAt(d.process), d.short)
 }
@@ -71,17 +71,18 @@
 	}
 }
 
-// stop stops one instance gracefully and restarts it. It must exit in time with code zero, unless it was just starting or was paused meanwhile.
+// stop shuts one instance down gracefully and restarts it. The process must exit in time with code zero, unless it was just starting or was paused
+// meanwhile.
 func (inj *injector) stop(d draw) {
 	p := inj.processAt(d.process)
 	inj.processLocks[p].Lock()
 	defer inj.processLocks[p].Unlock()
 	name, started, starting := p.Settings.Name, time.Now(), p.Uptime() < startupTime
 	defer inj.faultLog.begin(name)()
-	inj.logEvent("instance %s stops gracefully", name)
+	inj.logEvent("graceful shutdown of instance %s started", name)
 	code, err := p.Stop(stopLimit)
 	if paused := !inj.faultLog.undisturbed("pause "+name, started, time.Now()); !starting && !paused && (err != nil || code != 0) {
-		inj.addViolation("graceful stop of %s: exit code %d, error %v", name, code, err)
+		inj.addViolation("graceful shutdown of %s: exit code %d, error %v", name, code, err)
 	}
 	if err != nil {
 		p.Kill()
@@ -90,7 +91,7 @@
 	inj.restart(p)
 }
 
-// pause suspends the process of one instance by SIGSTOP, so that it resumes with outdated state.
+// pause suspends the process of one instance by SIGSTOP, so that it resumes with stale state.
 func (inj *injector) pause(d draw) {
 	p := inj.processAt(d.process)
 	name := p.Settings.Name
@@ -268,19 +269,19 @@
 	inj.Store.SetOutage(stand.OutageNone)
 }
 
-// expireEntries lets the entries of running upstreams expire because of a store outage. After it, the upstreams register again one by one.
-func (inj *injector) expireEntries(d draw) {
+// expireRegistrations makes the registrations of running upstreams expire during a store outage. After it, the upstreams register again one by one.
+func (inj *injector) expireRegistrations(d draw) {
 	end := inj.faultLog.begin(storeComponent)
 	inj.Store.SetOutage(outages[d.choice%len(outages)])
 	time.Sleep(d.long)
 	var expired []*stand.Upstream
 	for n, u := range inj.Upstreams() {
 		if (n+d.upstream)%3 > 0 && inj.tryReserve(u) {
-			u.ExpireEntry()
+			u.ExpireRegistration()
 			expired = append(expired, u)
 		}
 	}
-	inj.logEvent("%d entries of upstreams expired during a store outage of %s", len(expired), d.long)
+	inj.logEvent("%d registrations of upstreams expired during a store outage of %s", len(expired), d.long)
 	inj.Store.SetOutage(stand.OutageNone)
 	end()
 	for _, u := range expired {
@@ -327,7 +328,7 @@
 	inj.Store.StallWatches(false)
 }
 
-// recordDraining records when the store acknowledged that an upstream drains or that its entry is removed.
+// recordDraining records when the store acknowledged that an upstream drains or that its registration is removed.
 func (inj *injector) recordDraining(u *stand.Upstream) {
 	inj.run.mu.Lock()
 	defer inj.run.mu.Unlock()
@@ -356,7 +357,7 @@
 	inj.killSeveral(d)
 }
 
-// crash stops an upstream without draining. Either it restarts under its name, or its entry expires and a new upstream replaces it.
+// crash stops an upstream without draining. Either it restarts under its name, or its registration expires and a new upstream replaces it.
 func (inj *injector) crash(d draw) {
 	u := inj.reserveUpstream(d.upstream)
 	if u == nil {
@@ -366,8 +367,8 @@
 	inj.logEvent("upstream %s crashed, restarts under its name: %v", u.Name(), d.variant)
 	u.Close()
 	if !d.variant {
-		time.Sleep(entryExpiry)
-		u.ExpireEntry()
+		time.Sleep(registrationExpiry)
+		u.ExpireRegistration()
 		inj.recordDraining(u)
 		inj.startUpstream(u.Service(), u.Domain(), netip.AddrPort{})
 		return
@@ -391,11 +392,12 @@
 		inj.recordDraining(u)
 		time.Sleep(drainLimit + d.short)
 	}
+	// The fault has no end: the upstream does not return.
 	inj.faultLog.begin(u.Name())
 	inj.logEvent("upstream %s stopped, its address goes to another service; drained before: %v", u.Name(), d.variant)
 	u.Close()
 	if d.variant {
-		u.ExpireEntry()
+		u.ExpireRegistration()
 	}
 	inj.startUpstream(u.Service(), u.Domain(), netip.AddrPort{})
 	time.Sleep(addressReuseDelay + d.short)
@@ -405,8 +407,8 @@
 	}
 	inj.startUpstream(other, u.Domain(), u.Address())
 	if !d.variant {
-		time.Sleep(entryExpiry - addressReuseDelay)
-		u.ExpireEntry()
+		time.Sleep(registrationExpiry - addressReuseDelay)
+		u.ExpireRegistration()
 		inj.recordDraining(u)
 	}
 }
@@ -461,10 +463,10 @@
 func (inj *injector) addRoute() netip.AddrPort {
 	inj.mu.Lock()
 	defer inj.mu.Unlock()
-	inj.routesMade++
+	inj.routesAdded++
 	r := stand.Route{
-		Name: fmt.Sprintf("extra-%d", inj.routesMade), Service: "desk",
-		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, 1 + byte(inj.routesMade>>8), byte(inj.routesMade)}), 443),
+		Name: fmt.Sprintf("extra-%d", inj.routesAdded), Service: "desk",
+		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, 1 + byte(inj.routesAdded>>8), byte(inj.routesAdded)}), 443),
 	}
 	inj.extraRoutes = append(inj.extraRoutes, r)
 	at := inj.configure()
@@ -502,10 +504,10 @@
 	}
 }
 
-// evacuate takes a failure domain out of service and returns it, unless one is out already.
-func (inj *injector) evacuate(d draw) {
+// takeDomainOut takes a failure domain out of service and later returns it to service, unless one is out already.
+func (inj *injector) takeDomainOut(d draw) {
 	inj.run.mu.Lock()
-	for _, list := range inj.changes.evacuations {
+	for _, list := range inj.changes.domainsOut {
 		if list[len(list)-1].end.IsZero() {
 			inj.run.mu.Unlock()
 			return
@@ -513,18 +515,18 @@
 	}
 	inj.Store.EvacuateDomain(d.domain)
 	out := &interval{start: time.Now()}
-	inj.changes.evacuations[d.domain] = append(inj.changes.evacuations[d.domain], out)
+	inj.changes.domainsOut[d.domain] = append(inj.changes.domainsOut[d.domain], out)
 	inj.run.mu.Unlock()
 	inj.logEvent("failure domain %s taken out of service", d.domain)
-	time.Sleep(evacuationLimit + d.long/2)
+	time.Sleep(domainOutLimit + d.long/2)
 	inj.run.mu.Lock()
 	defer inj.run.mu.Unlock()
 	out.end = time.Now()
 	inj.Store.RestoreDomain(d.domain)
 }
 
-// corruptEntries adds entries of upstreams to the registry that can't be decoded, and removes them after a time.
-func (inj *injector) corruptEntries(d draw) {
+// corruptRegistrations adds registrations that can't be decoded to the registry, and removes them after a time.
+func (inj *injector) corruptRegistrations(d draw) {
 	inj.Store.CorruptUpstreams()
 	time.Sleep(d.long)
 	inj.Store.RemoveCorruptUpstreams()
--- a/internal/proof/soak/injector_test.go
+++ b/internal/proof/soak/injector_test.go
@@ -29,10 +29,10 @@
 	reserved map[*stand.Upstream]bool
 	// lastUpstream is the number of the upstream that was started last.
 	lastUpstream uint64
-	// version is that of the last configuration written; extraRoutes holds its routes beyond the initial ones, and routesMade counts all added so far.
+	// version is that of the last configuration written; extraRoutes holds its routes beyond the initial ones, and routesAdded counts the routes added so far.
 	version     uint64
 	extraRoutes []stand.Route
-	routesMade  int
+	routesAdded int
 }
 
 func newInjector(r *run, rng *rand.Rand) *injector {
@@ -78,7 +78,7 @@
 	"door mute":      (*injector).stallStoreConnections,
 	"door slow":      (*injector).delayInstanceStore,
 	"store down":     (*injector).storeOutage,
-	"store lapses":   (*injector).expireEntries,
+	"store lapses":   (*injector).expireRegistrations,
 	"store slow":     (*injector).delayStore,
 	"answers lost":   (*injector).dropResponses,
 	"history gone":   (*injector).dropHistory,
@@ -90,8 +90,8 @@
 	"scale out":      (*injector).scaleOut,
 	"change routes":  (*injector).changeRoutes,
 	"storm":          (*injector).changeManyRoutes,
-	"evacuate":       (*injector).evacuate,
-	"unreadable":     (*injector).corruptEntries,
+	"evacuate":       (*injector).takeDomainOut,
+	"unreadable":     (*injector).corruptRegistrations,
 	"drain and kill": (*injector).drainAndKill,
 }
 
@@ -175,7 +175,7 @@
 // configure writes the next version of the configuration and returns the time at which the store had accepted it. The version numbers have gaps.
 // The caller holds inj.mu.
 func (inj *injector) configure() time.Time {
-	inj.version += 1 + uint64(inj.routesMade%3)
+	inj.version += 1 + uint64(inj.routesAdded%3)
 	inj.Store.Configure(inj.version, append(slices.Clone(routes), inj.extraRoutes...)...)
 	return time.Now()
 }
@@ -200,7 +200,7 @@
 	if since, drained := inj.changes.drained[u.Name()]; drained && since.Before(to) {
 		return false
 	}
-	for _, out := range inj.changes.evacuations[u.Domain()] {
+	for _, out := range inj.changes.domainsOut[u.Domain()] {
 		if out.start.Before(to) && (out.end.IsZero() || out.end.After(from)) {
 			return false
 		}
--- a/internal/proof/soak/soak_test.go
+++ b/internal/proof/soak/soak_test.go
@@ -35,19 +35,20 @@
 const (
 	// stabilityWindow is how long an instance and the store must have been free of faults before the bounds apply.
 	stabilityWindow = 4 * time.Second
-	// drainLimit, applyLimit and evacuationLimit are how long an upstream that drains, a changed route and a failure domain that is out of
-	// service may still be treated as before; stopLimit is how long a graceful stop may take.
-	drainLimit      = 3 * time.Second
-	applyLimit      = 3 * time.Second
-	evacuationLimit = 5 * time.Second
-	stopLimit       = 6 * time.Second
+	// drainLimit, applyLimit and domainOutLimit are how long an upstream that drains, a changed route and a failure domain that is out of
+	// service may still be treated as before; stopLimit is how long a graceful shutdown may take.
+	drainLimit     = 3 * time.Second
+	applyLimit     = 3 * time.Second
+	domainOutLimit = 5 * time.Second
+	stopLimit      = 6 * time.Second
 	// rollbackSlack is how long an instance may still act on the previous version of the configuration after a newer one, and
 	// disturbedRollbackSlack if a fault affected it in between, such as a pause of its process.
 	rollbackSlack          = 250 * time.Millisecond
 	disturbedRollbackSlack = 8 * rollbackSlack
-	// recoveryTime is the time after the last fault within which every request must be served again.
+	// recoveryTime is how long the recovery from the last fault may take; after it, every request must be served.
 	recoveryTime = 12 * time.Second
-	// coldFlowLimit is the number of new flows per second that a cold upstream accepts: it warms up at a rate of zero with a slack of five.
+	// coldFlowLimit is the number of new flows that a cold upstream may receive within one second: the fake platform's settings for cold starts
+	// have a rate of zero flows per second and a slack of five.
 	coldFlowLimit = 5
 	// coldStartTime is how long an upstream is cold after its start.
 	coldStartTime = 2 * time.Second
@@ -62,7 +63,8 @@
 	concurrency    = 6
 	// steadyTime is how long requests are counted after recovery.
 	steadyTime = 3 * time.Second
-	// meanFaultInterval is the mean time between the starts of two faults.
+	// meanFaultInterval is the mean of the exponential distribution from which the time between the starts of two faults is drawn; the time is
+	// capped at four times the mean.
 	meanFaultInterval = 500 * time.Millisecond
 	// firstSubnet is the lowest second byte of the loopback addresses that environments of this package use; other tests use lower values.
 	firstSubnet = 130
--- a/internal/proof/whole/document_test.go
+++ b/internal/proof/whole/document_test.go
@@ -102,7 +102,7 @@
 			for n := range 6 {
 				start := time.Now()
 				s.awaitVersion(s.setLeaving("ruche-service-1", n%2 == 0), shortLimit)
-				t.Logf("in force at every instance after %s", time.Since(start))
+				t.Logf("active at every instance after %s", time.Since(start))
 			}
 			stop()
 		})
@@ -117,12 +117,12 @@
 		wg.Go(func() {
 			var highest uint64
 			for ctx.Err() == nil {
-				w, err := in.Status(ctx)
-				if err == nil && w.Document < highest {
-					s.t.Errorf("instance %s reverted from version %d to %d", in.ID, highest, w.Document)
+				report, err := in.Status(ctx)
+				if err == nil && report.Document < highest {
+					s.t.Errorf("instance %s reverted from version %d to %d", in.ID, highest, report.Document)
 				}
 				if err == nil {
-					highest = w.Document
+					highest = report.Document
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
@@ -199,9 +199,9 @@
 		is.NoErr(err)
 		time.Sleep(2 * time.Second)
 		for _, in := range s.Instances {
-			w, err := in.Status(ctx)
+			report, err := in.Status(ctx)
 			is.NoErr(err)
-			is.Equal(w.Document, uint64(good.Version))
+			is.Equal(report.Document, uint64(good.Version))
 		}
 		v, err := change.Submit(ctx, client, change.StoredDocument{Version: broken}, good.Text, "operator")
 		is.NoErr(err)
@@ -290,6 +290,7 @@
 		if n == blocks/4 {
 			s.Stop(s.Instances[0])
 		}
+		// The Block1 option holds the block number, the bit for further blocks (8) and the exponent of the block size (6 for 1024 bytes).
 		block := n<<4 | 6
 		if n < blocks-1 {
 			block |= 8
--- a/internal/proof/whole/faultnet_test.go
+++ b/internal/proof/whole/faultnet_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// proxyPort, proxyGroup and proxyHostBase give the n-th proxy the address 127.x.proxyGroup.(proxyHostBase+n):proxyPort, where x is the
-	// second byte of the fleet's own addresses.
+	// proxyPort, proxyGroup and proxyHostBase form the addresses of the proxies, which are numbered from 1. Proxy n listens at
+	// 127.x.proxyGroup.(proxyHostBase+n):proxyPort, where x is the second byte of the fleet's own addresses.
 	proxyPort     = 7500
 	proxyGroup    = 60
 	proxyHostBase = 15
@@ -40,7 +40,7 @@
 	// All below is guarded by mu.
 	rng        *rand.Rand
 	proxyCount int
-	// names holds the instance at each address, and domains the failure domain of each instance and upstream.
+	// names holds the name of the instance at each address, and domains the failure domain of each instance and upstream.
 	names   map[netip.Addr]string
 	domains map[string]string
 	// blocked holds the blocked directions between failure domains, as pairs of sender and receiver.
@@ -246,7 +246,7 @@
 	}
 }
 
-// deliver sends a datagram as often and as late as the datagram faults require. Copies with different delays can arrive out of order.
+// deliver sends the copies of a datagram after the delays that drawDelays returns. Copies with different delays can arrive out of order.
 func (n *faultNetwork) deliver(raw []byte, send func([]byte)) {
 	for _, delay := range n.drawDelays() {
 		if delay == 0 {
--- a/internal/proof/whole/flow_test.go
+++ b/internal/proof/whole/flow_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// startFlows starts callers with one opaque flow each; stop ends them, after which the reports are complete.
+// startFlows starts callers with one opaque flow each. The reports are complete once stop has returned.
 func (s *system) startFlows() (reports *[]caller.FlowReport, stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var mu sync.Mutex
@@ -87,8 +87,8 @@
 	}
 }
 
-// checkFlows checks that every flow still receives replies, and only its own, that none moved during a planned change, and that upstreams
-// received no packets of other services and no more flows in cold start than allowed.
+// checkFlows checks that every flow still receives replies, and only its own, that none moved to another upstream if the change was planned, and
+// that no upstream received packets of other services or more flows than allowed during its cold start.
 func (s *system) checkFlows(reports []caller.FlowReport, planned bool) {
 	s.t.Helper()
 	sent, answered, moved := 0, 0, 0
@@ -97,8 +97,8 @@
 		if r.UpstreamChanges > 0 {
 			moved++
 		}
-		if silence := time.Since(r.LastReply); silence > shortLimit {
-			s.t.Errorf("a flow has received no reply for %s", silence)
+		if sinceReply := time.Since(r.LastReply); sinceReply > shortLimit {
+			s.t.Errorf("a flow has received no reply for %s", sinceReply)
 		}
 		if r.Misdelivered > 0 {
 			s.t.Errorf("a flow received %d replies that belong to other flows", r.Misdelivered)
--- a/internal/proof/whole/harness_test.go
+++ b/internal/proof/whole/harness_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// awaitVersion waits until the document is in force at every instance and fails the test after the limit.
+// awaitVersion waits until the version of the document is active at every instance, and fails the test if that takes longer than the limit.
 func (s *system) awaitVersion(v model.Version, limit time.Duration) {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
--- a/internal/proof/whole/invariants_test.go
+++ b/internal/proof/whole/invariants_test.go
@@ -13,7 +13,7 @@
 	// coldSlots and coldConnections are the limits of an upstream during its cold start: concurrent requests, and streams or flows opened.
 	coldSlots       = 1
 	coldConnections = 50
-	// lateResponseTime is the wait for late responses before the upstreams' records are read.
+	// lateResponseTime is how long late responses are awaited before the upstreams' records are read.
 	lateResponseTime = 1500 * time.Millisecond
 )
 
@@ -41,8 +41,9 @@
 	}
 }
 
-// checkInvariants stops the load and compares the callers' results with the upstreams' records: at most one execution of each booking, no
-// traffic to another service, true responses, and cold-start limits. These hold under every fault.
+// checkInvariants stops the load and compares the callers' results with the upstreams' records: at most one execution of each booking,
+// results that agree with the executions, no packet at another service, no response to another request, and no more work in a cold start than
+// its limits allow. These hold under every fault.
 func (s *system) checkInvariants() {
 	s.t.Helper()
 	s.load.Stop()
@@ -59,12 +60,12 @@
 	sums := map[string]int64{}
 	for _, in := range s.Instances {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		w, err := in.Status(ctx)
+		report, err := in.Status(ctx)
 		cancel()
 		if err != nil {
 			continue
 		}
-		for _, c := range w.Counters {
+		for _, c := range report.Counters {
 			sums[c.Name] += c.Value
 		}
 	}
--- a/internal/stand/caller/caller.go
+++ b/internal/stand/caller/caller.go
@@ -26,7 +26,7 @@
 	retransmitTimeout = 400 * time.Millisecond
 	// maxExchanges is the maximum number of exchanges for one request; each response with a new binding takes one.
 	maxExchanges = 6
-	// inboxSize is the number of messages that wait to be read for one token; further ones are dropped.
+	// inboxSize is the maximum number of unread messages for one token; further ones are dropped.
 	inboxSize = 32
 )
 
--- a/internal/stand/caller/flow.go
+++ b/internal/stand/caller/flow.go
@@ -55,7 +55,7 @@
 	return r, nil
 }
 
-// handleReply checks one reply: the boot ID of its upstream, followed by the datagram as it was sent.
+// handleReply checks one reply, which holds the boot ID of its upstream and the datagram that it echoes.
 func (r *FlowReport) handleReply(raw []byte, flowID uint32, lastBoot *uint64) {
 	if len(raw) < bootSize+4 || binary.BigEndian.Uint32(raw[bootSize:]) != flowID {
 		r.Misdelivered++
--- a/internal/stand/caller/stream.go
+++ b/internal/stand/caller/stream.go
@@ -23,8 +23,8 @@
 type StreamReport struct {
 	// Notifications counts the notifications that arrived in sequence.
 	Notifications int
-	// Gaps counts jumps in the sequence, UpstreamChanges the times that the stream was opened anew at an upstream, and Stalls the periods of
-	// StallTimeout without a message.
+	// Gaps counts jumps in the sequence, UpstreamChanges counts how often an upstream opened the stream anew under another ID, and Stalls counts
+	// periods of StallTimeout without a message.
 	Gaps, UpstreamChanges, Stalls int
 	// Refusals counts registrations that were refused.
 	Refusals int
@@ -50,7 +50,8 @@
 	// id and seq are the stream ID and the sequence number of the last notification.
 	id  string
 	seq int
-	// lastMessage is when the last notification or response arrived, and lastResponse is when the last response to a registration did.
+	// lastMessage is when the last notification or successful response arrived, or when the last stall was counted. lastResponse is when the last
+	// registration succeeded, or was refused after the stream had been open.
 	lastMessage  time.Time
 	lastResponse time.Time
 	// registrationID is the message ID of the last registration; acknowledgements of earlier ones are duplicates and are ignored.
@@ -103,7 +104,8 @@
 	return time.Now()
 }
 
-// handle handles one message of the stream.
+// handle handles one message of the stream. Until the stream has been open, a refused registration is retransmitted; a refused refresh is not, as
+// the next refresh follows after RefreshInterval.
 func (s *stream) handle(m message.Message) {
 	if m.Type == message.Acknowledgement && m.MessageID != s.registrationID {
 		return
--- a/internal/stand/stage/process.go
+++ b/internal/stand/stage/process.go
@@ -37,7 +37,7 @@
 	ready atomic.Bool
 
 	mu sync.Mutex
-	// cmd is the current run, and exited is closed when it exits; both are guarded by mu.
+	// cmd is the process of the current run, and exited is closed when it exits; both are guarded by mu.
 	cmd    *exec.Cmd
 	exited chan struct{}
 	// started is the start time of the current run; it is guarded by mu.
--- a/internal/stand/tunnel/tunnel.go
+++ b/internal/stand/tunnel/tunnel.go
@@ -57,7 +57,7 @@
 	return p
 }
 
-// Close closes the listener and resets all connections.
+// Close closes the listener and resets all connections that are being forwarded. Connections that wait for the end of a block stay open until then.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.Reset("")
--- a/internal/stand/upnode/upnode.go
+++ b/internal/stand/upnode/upnode.go
@@ -30,7 +30,7 @@
 	// Slots and Connections limit the concurrent requests and the open streams.
 	Slots, Connections int
 	// ColdSlots replaces Slots during a cold start. ColdConnections is the number of streams that may be opened in a cold start; the node does
-	// not enforce it but counts them in Stats.MaxColdOpened.
+	// not enforce it, but counts the opened streams in Stats.MaxColdOpened.
 	ColdSlots, ColdConnections int
 	// ColdFor is the duration of a cold start.
 	ColdFor time.Duration
@@ -46,7 +46,7 @@
 
 // Stats holds what a node has counted since New, over all restarts.
 type Stats struct {
-	// Executions counts the executions of each booking, by its reference; bookings are requests that must not run twice.
+	// Executions counts the executions of each booking, by its reference. Bookings are POST requests, which must not run twice.
 	Executions map[string]int
 	// Misrouted counts packets to other services.
 	Misrouted int
@@ -170,7 +170,7 @@
 	clear(n.streams)
 }
 
-// Restart simulates a restart: the node has a new boot ID and no streams, and begins a cold start.
+// Restart simulates a restart: the node has a new boot ID and no streams, and starts cold.
 func (n *Node) Restart() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
