--- a/internal/bench/demo/demo.go
+++ b/internal/bench/demo/demo.go
@@ -21,10 +21,10 @@
 	startTimeout    = 60 * time.Second
 	// settleTime is the pause between stopping the load and verifying the results, in which upstreams finish their requests.
 	settleTime = 1500 * time.Millisecond
-	// effectTime is the time for which the effects of an event are measured; most events take twice as long.
+	// effectTime is the time for which the effects of an event are measured; it is doubled for most events.
 	effectTime = 5 * time.Second
 
-	// coldSlots and coldConnections are the cold-start limits of the upstreams of a fleet.
+	// coldSlots and coldConnections are the cold-start limits that package fleet sets for its upstreams.
 	coldSlots       = 1
 	coldConnections = 50
 )
@@ -86,7 +86,7 @@
 	return d.run, nil
 }
 
-// start waits until the instances are usable and starts the load.
+// start waits until the instances can use the upstreams, starts the load and waits until all streams have been opened.
 func (d *demo) start(ctx context.Context) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -152,7 +152,7 @@
 	}
 }
 
-// runEvent applies an event, measures its effects for its wait time and records them as a phase.
+// runEvent applies an event, waits for its wait time and records the effects as a phase.
 func (d *demo) runEvent(ctx context.Context, ev event) error {
 	brokenBefore := len(d.load.BrokenStreams())
 	busyBefore := drive.BusyTimes(d.fleet.Upstreams)
@@ -170,7 +170,7 @@
 		Planned:     ev.planned,
 		Seconds:     time.Since(started).Seconds(),
 		BrokenFlows: len(d.load.BrokenStreams()) - brokenBefore,
-		Imbalance:   drive.Imbalance(d.openUpstreams(), busyBefore),
+		Imbalance:   drive.Imbalance(d.availableUpstreams(), busyBefore),
 	}
 	for outcome, n := range d.load.Bookings(started) {
 		p.Bookings = append(p.Bookings, report.Count{Name: outcome.String(), Value: int64(n)})
@@ -199,8 +199,8 @@
 func (d *demo) verify(ctx context.Context) {
 	d.load.Stop()
 	time.Sleep(settleTime)
-	for _, b := range d.load.Verify(drive.ColdLimits{ColdSlots: coldSlots, ColdConnections: coldConnections}) {
-		d.run.Breaches = append(d.run.Breaches, b.String())
+	for _, v := range d.load.Verify(drive.ColdLimits{ColdSlots: coldSlots, ColdConnections: coldConnections}) {
+		d.run.Breaches = append(d.run.Breaches, v.String())
 	}
 	h := d.load.Latency()
 	for _, q := range []float64{50, 90, 99, 99.9} {
@@ -214,11 +214,11 @@
 func (d *demo) counters(ctx context.Context) []report.Count {
 	sums := map[string]int{}
 	for _, in := range d.fleet.Instances {
-		w, err := in.Status(ctx)
+		st, err := in.Status(ctx)
 		if err != nil {
 			continue
 		}
-		for _, c := range w.Counters {
+		for _, c := range st.Counters {
 			sums[c.Name] += int(c.Value)
 		}
 	}
@@ -230,8 +230,8 @@
 	return name == d.drainedUpstream || (d.domainOut != "" && d.fleet.UpstreamDomains()[name] == d.domainOut)
 }
 
-// openUpstreams returns the upstreams of the first service that have not been taken out.
-func (d *demo) openUpstreams() []*upnode.Node {
+// availableUpstreams returns the upstreams of the first service that have not been taken out.
+func (d *demo) availableUpstreams() []*upnode.Node {
 	var out []*upnode.Node
 	for _, n := range d.fleet.Upstreams[:d.cfg.Setup.Services[0].Upstreams] {
 		if !d.takenOut(n.Name()) {
--- a/internal/bench/drive/balance.go
+++ b/internal/bench/drive/balance.go
@@ -15,7 +15,7 @@
 	return out
 }
 
-// Imbalance returns the ratio of the highest to the mean busy time of the upstreams since before, a result of BusyTimes.
+// Imbalance returns the ratio of the highest to the mean busy time of the upstreams since the call of BusyTimes that returned before.
 // It returns zero if no upstream was busy.
 func Imbalance(upstreams []*upnode.Node, before map[string]time.Duration) float64 {
 	var highest, sum time.Duration
--- a/internal/bench/drive/drive.go
+++ b/internal/bench/drive/drive.go
@@ -31,13 +31,13 @@
 // Config holds the parameters of a Load.
 type Config struct {
 	Fleet *fleet.Fleet
-	// Streams, Bookers and Readers are the numbers of callers of each service that keep a stream open, send bookings and send reads.
+	// Streams, Bookers and Readers are the numbers of callers of each service that keep a stream open, send bookings and send reads, respectively.
 	Streams, Bookers, Readers int
 	// ThinkTime is the pause of a caller between two requests.
 	ThinkTime time.Duration
 	// RefreshInterval is the interval at which streams are refreshed.
 	RefreshInterval time.Duration
-	// Seed initializes the token generators of the callers.
+	// Seed initializes the random number generators of the callers.
 	Seed uint64
 }
 
@@ -84,7 +84,7 @@
 		latency: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 	}
 	for id := range cfg.Fleet.Services {
-		works := []struct {
+		workloads := []struct {
 			count int
 			work  func(context.Context, *caller.Caller, int)
 		}{
@@ -92,7 +92,7 @@
 			{count: cfg.Bookers, work: l.runBookings},
 			{count: cfg.Readers, work: l.runReads},
 		}
-		for _, w := range works {
+		for _, w := range workloads {
 			for range w.count {
 				if err := l.startCaller(ctx, id, w.work); err != nil {
 					l.Stop()
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// Stop stops the load and waits until the callers have finished their current requests. It may be called again.
+// Stop stops the load and waits until the callers have finished their current requests. It may be called more than once.
 func (l *Load) Stop() {
 	l.cancel()
 	l.wg.Wait()
@@ -199,7 +199,7 @@
 		select {
 		case <-time.After(pollInterval):
 		case <-ctx.Done():
-			return fmt.Errorf("only %d of %d streams are open", open, want)
+			return fmt.Errorf("only %d of %d streams have been opened", open, want)
 		}
 	}
 }
--- a/internal/bench/fleet/fleet.go
+++ b/internal/bench/fleet/fleet.go
@@ -150,7 +150,7 @@
 	return f, nil
 }
 
-// reserveBlock selects a /16 block of loopback addresses that no other fleet uses, and holds a listener in it as lock.
+// reserveBlock selects a /16 block of loopback addresses that no other fleet uses, and keeps a listener open in it as a lock.
 func (f *Fleet) reserveBlock() error {
 	for n := firstBlock + int(f.cfg.Seed)%100; n <= lastBlock; n++ {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", n, portLock))
@@ -163,6 +163,8 @@
 }
 
 // addr returns an address in the fleet's block; subnet and host are the third and fourth byte of the IP address.
+// Subnet 0 holds the fabric, the platform, the callers and the services, the subnets from 20 on hold the upstreams by service,
+// and those from firstInstanceSubnet and firstAbsentSubnet on the instances and the absent upstreams.
 func (f *Fleet) addr(subnet, host, port int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(f.block), byte(subnet), byte(host)}), uint16(port))
 }
@@ -172,7 +174,7 @@
 	return f.addr(0, 4, 1).Addr()
 }
 
-// Address returns an address in the fleet's block; subnet and host are the third and fourth byte of the IP address.
+// Address returns an address in the fleet's block for use by other packages; see addr. They must select a subnet that the fleet does not use.
 func (f *Fleet) Address(subnet, host, port int) netip.AddrPort {
 	return f.addr(subnet, host, port)
 }
@@ -243,7 +245,7 @@
 	return nil
 }
 
-// publishInstances updates the fabric's targets and the platform's instance list to the instances that are not excluded.
+// publishInstances sets the fabric's targets and the platform's instance list to the instances that are not excluded.
 func (f *Fleet) publishInstances() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/bench/fleet/instance.go
+++ b/internal/bench/fleet/instance.go
@@ -75,7 +75,7 @@
 	return in, nil
 }
 
-// AddInstance starts an additional instance in the failure domain.
+// AddInstance starts an additional instance in the failure domain; the fabric includes it after endpointDelay.
 func (f *Fleet) AddInstance(domain model.DomainID) (*Instance, error) {
 	in, err := f.defineInstance(len(f.Instances), domain)
 	if err != nil {
@@ -169,12 +169,12 @@
 	return nil
 }
 
-// PID returns the process id of the instance.
+// PID returns the process ID of the instance.
 func (in *Instance) PID() int {
 	return in.cmd.Process.Pid
 }
 
-// Restart starts a stopped instance again and includes it in the fabric.
+// Restart starts a stopped instance again; the fabric includes it after endpointDelay.
 func (f *Fleet) Restart(in *Instance) error {
 	if err := f.StartInstance(in); err != nil {
 		return err
@@ -238,13 +238,13 @@
 			return nil
 		default:
 		}
-		w, err := in.Status(ctx)
-		if err == nil && w.Document >= uint64(v) && w.Keys > 0 {
+		st, err := in.Status(ctx)
+		if err == nil && st.Document >= uint64(v) && st.Keys > 0 {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return eris.Errorf("instance %s has document version %d instead of %d: %v", in.ID, w.Document, v, err)
+			return eris.Errorf("instance %s has document version %d instead of %d: %v", in.ID, st.Document, v, err)
 		case <-time.After(pollInterval):
 		}
 	}
@@ -260,11 +260,11 @@
 	for {
 		usable := 0
 		for _, in := range f.Instances {
-			w, err := in.Status(ctx)
+			st, err := in.Status(ctx)
 			if err != nil {
 				continue
 			}
-			for _, u := range w.Upstreams {
+			for _, u := range st.Upstreams {
 				usable += u.Limit
 			}
 		}
--- a/internal/bench/fleet/setup.go
+++ b/internal/bench/fleet/setup.go
@@ -21,7 +21,7 @@
 	Instances int
 	// RequestTime is the mean execution time of a request at the fastest upstream of a service.
 	RequestTime time.Duration
-	// MaxSlowdown is the ratio of the request times of the slowest and the fastest upstream; the others are spaced evenly between.
+	// MaxSlowdown is the ratio of the request times of the slowest and the fastest upstream; the others are spaced evenly between them.
 	MaxSlowdown float64
 	// NotificationInterval is the interval between notifications of a stream.
 	NotificationInterval time.Duration
@@ -29,13 +29,14 @@
 	AbsentUpstreams int
 	// DuplicateRate is the share of callers' packets that the fabric duplicates, between 0 and 1.
 	DuplicateRate float64
-	// The timing parameters of the document; zero values select the defaults.
+	// The timing parameters of the document. All are required, as the document is rejected if one is out of range; only ColdDuration may be zero.
 	Detection, WarmLease, BindingLifetime time.Duration
 	RequestTimeout, RefreshInterval       time.Duration
 	ColdDuration                          time.Duration
 }
 
-// Service describes a service of a set-up. Kind is coap or datagram; Slots and Connections are the limits of each upstream.
+// Service describes a service of a set-up. Kind is coap or datagram; Slots and Connections limit the concurrent requests and the open streams
+// of each upstream.
 type Service struct {
 	ID          model.ServiceID
 	Kind        string
--- a/internal/bench/replay/caller.go
+++ b/internal/bench/replay/caller.go
@@ -9,7 +9,7 @@
 
 // Timing and retries of callers, as the platform's documentation specifies them.
 const (
-	// firstSynRetransmit and secondSynRetransmit are the times of the SYN retransmissions after the first SYN.
+	// firstSynRetransmit and secondSynRetransmit are the times from the first SYN to its retransmissions.
 	firstSynRetransmit  = 200 * time.Millisecond
 	secondSynRetransmit = 600 * time.Millisecond
 	// connectTimeout is the time after which a flow without a SYN-ACK fails.
@@ -52,8 +52,8 @@
 	upstream *upstream
 	// tag is the routing tag that the caller sends back with each packet.
 	tag model.RoutingTag
-	// acceptedBy is the upstream that received the current request; nil if none did.
-	acceptedBy *upstream
+	// receivedBy is the upstream that received the current request; nil if none did.
+	receivedBy *upstream
 	// acked is set when the upstream has acknowledged the data of the current request.
 	acked  bool
 	closed bool
@@ -67,21 +67,21 @@
 // startCallers schedules the first request of each user and the first booking of a failure domain.
 func (s *simulation) startCallers(d model.DomainID) {
 	for range s.pattern.Users {
-		s.after(loadStart+s.randomPause(s.pattern.ThinkTime), func() { s.requestOnLongFlow(d, nil) })
+		s.after(loadStart+s.randomPause(s.pattern.ThinkTime), func() { s.startUserRequest(d, nil) })
 	}
 	if s.pattern.BookingRate > 0 {
-		s.after(loadStart+s.randomPause(time.Second/time.Duration(s.pattern.BookingRate)), func() { s.requestOnNewFlow(d) })
+		s.after(loadStart+s.randomPause(time.Second/time.Duration(s.pattern.BookingRate)), func() { s.startBooking(d) })
 	}
 }
 
-// requestOnLongFlow sends a user's next request on its flow and opens a new flow if it has none. It repeats after a pause.
-func (s *simulation) requestOnLongFlow(d model.DomainID, flow *callerFlow) {
+// startUserRequest sends a user's next request on its flow, or on a new one if flow is nil or closed. The following request starts after a pause.
+func (s *simulation) startUserRequest(d model.DomainID, flow *callerFlow) {
 	if s.loadEnded() {
 		return
 	}
 	r := &request{sim: s, domain: d, startedAt: s.now}
 	r.onDone = func(next *callerFlow) {
-		s.after(s.randomPause(s.pattern.ThinkTime), func() { s.requestOnLongFlow(d, next) })
+		s.after(s.randomPause(s.pattern.ThinkTime), func() { s.startUserRequest(d, next) })
 	}
 	s.result.recordStart(r)
 	s.after(s.pattern.Deadline, r.handleDeadline)
@@ -89,13 +89,13 @@
 		r.openFlow()
 		return
 	}
-	flow.request, flow.acceptedBy, flow.acked = r, nil, false
+	flow.request, flow.receivedBy, flow.acked = r, nil, false
 	r.attempts++
 	flow.sendRequest(initialRTO)
 }
 
-// requestOnNewFlow sends a booking on its own flow and schedules the next booking of the failure domain.
-func (s *simulation) requestOnNewFlow(d model.DomainID) {
+// startBooking sends a booking on its own flow and schedules the next booking of the failure domain.
+func (s *simulation) startBooking(d model.DomainID) {
 	if s.loadEnded() {
 		return
 	}
@@ -103,7 +103,7 @@
 	s.result.recordStart(r)
 	s.after(s.pattern.Deadline, r.handleDeadline)
 	r.openFlow()
-	s.after(s.randomPause(time.Second/time.Duration(s.pattern.BookingRate)), func() { s.requestOnNewFlow(d) })
+	s.after(s.randomPause(time.Second/time.Duration(s.pattern.BookingRate)), func() { s.startBooking(d) })
 }
 
 // openFlow starts an attempt on a new flow.
@@ -234,7 +234,7 @@
 	r.finish(false, nil)
 }
 
-// finish records the outcome of the request, once, and closes its flows if it failed.
+// finish records the outcome of the request, closes its flows if it failed and calls onDone. Further calls have no effect.
 func (r *request) finish(ok bool, flow *callerFlow) {
 	if r.done {
 		return
--- a/internal/bench/replay/instance.go
+++ b/internal/bench/replay/instance.go
@@ -117,7 +117,8 @@
 }
 
 // routeFlow returns the instance that receives the packets of a flow: the flow's hash selects among the instances in rotation of its failure domain.
-// If fewer than half are in rotation, it selects among all. A domain with none in rotation fails over to the other domains.
+// If some but fewer than half are in rotation, it selects among all. A domain with none in rotation fails over to the other domains;
+// if no domain has any in rotation, the hash selects among all instances of the flow's own domain.
 func (s *simulation) routeFlow(f *callerFlow) *instance {
 	for _, d := range append([]model.DomainID{f.domain}, s.otherDomains(f.domain)...) {
 		var pool []*instance
@@ -200,7 +201,7 @@
 	}
 }
 
-// execute carries out actions of the engine; f is the flow whose packet caused them, nil after a tick or probe.
+// execute carries out actions of the engine; f is the flow whose packet caused them, nil if no packet did.
 func (in *instance) execute(actions []direct.Action, f *callerFlow) {
 	defer in.shareSuspicion()
 	for _, a := range actions {
--- a/internal/bench/replay/pattern.go
+++ b/internal/bench/replay/pattern.go
@@ -34,7 +34,8 @@
 	Slots int
 	// QueueLimit is the queue length of an upstream; further requests are rejected without being executed.
 	QueueLimit int
-	// TimeFactors holds multipliers of the request time as decimal numbers, assigned to upstreams in turn.
+	// TimeFactors holds multipliers of the request time as decimal numbers, assigned to upstreams in turn. At least one is required; a text
+	// that is not a number counts as 1.
 	TimeFactors []string
 	// ThinkTime is the mean pause of a user between two requests.
 	ThinkTime time.Duration
@@ -57,11 +58,12 @@
 	// Duration is how long the event lasts. EventCrash and EventReplace are permanent and ignore it.
 	Duration time.Duration
 	Kind     EventKind
-	// Domain restricts the event to a failure domain; empty for all.
+	// Domain is the failure domain of the event. Events that affect upstreams pick from all domains if it is empty; EventPowerLoss and
+	// EventBurst ignore it.
 	Domain string
 	// Count is the number of affected upstreams, for events that affect upstreams.
 	Count int
-	// Factor is the multiplier of EventSlow and EventBurst in percent; 200 doubles the value.
+	// Factor is the multiplier of EventSlow and EventBurst in percent, for which it is required; 200 doubles the value.
 	Factor int
 }
 
@@ -70,7 +72,7 @@
 
 // The kinds of events.
 const (
-	// EventCrash stops upstreams permanently; their registry entries expire after three missed heartbeats.
+	// EventCrash stops upstreams permanently; their registrations expire after three missed heartbeats.
 	EventCrash EventKind = "die"
 	// EventSlow multiplies the request time of upstreams by Factor percent.
 	EventSlow EventKind = "slow"
--- a/internal/bench/replay/upstream.go
+++ b/internal/bench/replay/upstream.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// heartbeatExpiry is the time after which the registry entry of a crashed upstream expires: three heartbeats of 1.2 s.
+	// heartbeatExpiry is the time after which the registration of a crashed upstream expires: three heartbeat intervals of 1.2 s.
 	heartbeatExpiry = 3600 * time.Millisecond
 	// drainTime is how long a draining upstream keeps running.
 	drainTime = 3500 * time.Millisecond
@@ -21,7 +21,7 @@
 // upstream simulates an upstream that executes requests in a fixed number of slots and queues the others.
 type upstream struct {
 	sim *simulation
-	// reg is the registry entry of the upstream.
+	// reg is the registration of the upstream.
 	reg model.Registration
 	// timeFactor multiplies the request time.
 	timeFactor float64
@@ -43,7 +43,7 @@
 	warmAt model.Instant
 }
 
-// addUpstream adds an upstream to a failure domain; coldFor is the duration of its cold start.
+// addUpstream adds an upstream to a failure domain; coldFor is the duration of its cold start, zero if it is warm.
 func (s *simulation) addUpstream(d model.DomainID, coldFor time.Duration) {
 	n := model.EndpointNumber(len(s.upstreams) + 1)
 	timeFactor, err := strconv.ParseFloat(s.pattern.TimeFactors[len(s.upstreams)%len(s.pattern.TimeFactors)], 64)
@@ -67,7 +67,7 @@
 	s.upstreamsByNumber[n] = u
 }
 
-// crash stops the upstream permanently and removes its registry entry after heartbeatExpiry.
+// crash stops the upstream permanently and removes its registration after heartbeatExpiry.
 func (u *upstream) crash() {
 	u.down = true
 	u.flows, u.halfOpen, u.queue = nil, nil, nil
@@ -118,10 +118,10 @@
 // handleRequest acknowledges a request and executes, queues or rejects it. A retransmission is only acknowledged.
 func (u *upstream) handleRequest(f *callerFlow) {
 	u.reply(f.handleAck)
-	if f.acceptedBy == u {
+	if f.receivedBy == u {
 		return
 	}
-	f.acceptedBy = u
+	f.receivedBy = u
 	u.arrivals++
 	switch {
 	case u.running < u.sim.pattern.Slots:
--- a/internal/bench/report/page.go
+++ b/internal/bench/report/page.go
@@ -24,7 +24,7 @@
 	TextX, LabelY float64
 }
 
-// Layout of the plots, in pixels.
+// Layout of the plots, in pixels. page.html repeats barStart as the x coordinate of the bars.
 const (
 	barHeight   = 24
 	barStart    = 140
--- a/internal/bench/report/report.go
+++ b/internal/bench/report/report.go
@@ -34,7 +34,7 @@
 	slices.SortFunc(list, func(a, b Count) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Quantile is a percentile of the latency in microseconds.
+// Quantile is a latency percentile; Micros is the latency in microseconds.
 type Quantile struct {
 	Percent float64 `json:"percent"`
 	Micros  int64   `json:"micros"`
--- a/internal/bench/tools/demo.go
+++ b/internal/bench/tools/demo.go
@@ -65,7 +65,7 @@
 	}
 	var runs []report.Run
 	for _, setup := range list {
-		run, err := c.runOne(ctx, setup)
+		run, err := c.runSetup(ctx, setup)
 		if err != nil {
 			return err
 		}
@@ -83,7 +83,7 @@
 	return nil
 }
 
-func (c *demoCommand) runOne(ctx context.Context, setup fleet.Setup) (run report.Run, err error) {
+func (c *demoCommand) runSetup(ctx context.Context, setup fleet.Setup) (run report.Run, err error) {
 	dir := filepath.Join(c.out, setup.Name)
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return run, err
--- a/internal/bench/tools/flows.go
+++ b/internal/bench/tools/flows.go
@@ -55,7 +55,7 @@
 	return withFleet(ctx, cfg, func(f *fleet.Fleet) error { return c.measure(ctx, f, setup.Domains[0]) })
 }
 
-// measure runs the three phases.
+// measure prints the resource usage without load, under new flows and while an instance joins.
 func (c *flowsCommand) measure(ctx context.Context, f *fleet.Fleet, domain model.DomainID) error {
 	time.Sleep(flowWarmUpTime)
 	if err := c.measurePhase(ctx, f, "at rest"); err != nil {
@@ -104,8 +104,8 @@
 	service := f.Services["stock-feed"]
 	started, sent := time.Now(), 0
 	for ctx.Err() == nil {
-		due := int(time.Since(started).Seconds() * float64(c.rate*f.InstanceCount()))
-		for ; sent < due; sent++ {
+		want := int(time.Since(started).Seconds() * float64(c.rate*f.InstanceCount()))
+		for ; sent < want; sent++ {
 			raw, err := frame.Format(frame.Frame{Source: f.Address(90, 1+sent>>16, firstFlowPort+sent&0x7fff), Dest: service, Payload: []byte("tick")})
 			if err != nil {
 				return
--- a/internal/bench/tools/slopes.go
+++ b/internal/bench/tools/slopes.go
@@ -122,7 +122,7 @@
 	return c.measureUsage(ctx, f, f.InstanceCount(), absentUpstreams)
 }
 
-// measureUsage prints the resource usage per instance during the measurement.
+// measureUsage prints the resource usage per instance during the measurement, in which it also submits the document changes.
 func (c *slopesCommand) measureUsage(ctx context.Context, f *fleet.Fleet, instances, absentUpstreams int) error {
 	before, err := readUsage(ctx, f, f.Instances)
 	if err != nil {
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// editDocument submits the requested number of document changes and returns the longest time until all instances had applied one.
+// editDocument submits the requested number of document changes in sequence and returns the longest time until all instances had applied one.
 func (c *slopesCommand) editDocument(ctx context.Context, f *fleet.Fleet) (slowest time.Duration, err error) {
 	for n := range c.changes {
 		started := time.Now()
@@ -166,16 +166,16 @@
 	return slowest, nil
 }
 
-// readUsage returns the total resource usage of the instances since their start.
+// readUsage returns the total resource usage of the instances.
 func readUsage(ctx context.Context, f *fleet.Fleet, instances []*fleet.Instance) (u resourceUsage, err error) {
 	for _, in := range instances {
-		w, err := in.Status(ctx)
+		st, err := in.Status(ctx)
 		if err != nil {
 			return u, err
 		}
-		u.bytesIn += w.Counter("mesh.bytes_in")
-		u.bytesOut += w.Counter("mesh.bytes_out")
-		u.forwards += w.Counter("forward")
+		u.bytesIn += st.Counter("mesh.bytes_in")
+		u.bytesOut += st.Counter("mesh.bytes_out")
+		u.forwards += st.Counter("forward")
 		proc, err := procfs.NewProc(in.PID())
 		if err != nil {
 			return u, err
--- a/internal/bench/tools/tools.go
+++ b/internal/bench/tools/tools.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// command is a command that runs an experiment.
+// command is an experiment as a subcommand of hawthornbench. It implements subcommands.Command.
 type command struct {
 	name, synopsis, usage string
 	flags                 func(*flag.FlagSet)
