--- a/internal/oper/forms/edit.go
+++ b/internal/oper/forms/edit.go
@@ -34,7 +34,7 @@
 var inputs = map[change.Kind][]input{
 	change.KindDomain: {
 		{Name: "region", Label: "Region"},
-		{Name: "out", Label: "Taken out", kind: inputFlag},
+		{Name: "out", Label: "Out of service", kind: inputFlag},
 		{Name: "note", Label: "Note", Hint: "reason for the current values"},
 	},
 	change.KindService: {
@@ -54,7 +54,7 @@
 		{Name: "connections", Label: "Connections", Hint: "concurrent streams", kind: inputNumber},
 		{Name: "coldSlots", Label: "Cold slots", Hint: "concurrent requests during a cold start", kind: inputNumber},
 		{Name: "coldConnections", Label: "Cold connections", Hint: "streams opened during a cold start", kind: inputNumber},
-		{Name: "coldFor", Label: "Cold for", Hint: "such as 30s"},
+		{Name: "coldFor", Label: "Cold start duration", Hint: "such as 30s"},
 		{Name: "leaving", Label: "Leaving", kind: inputFlag},
 		{Name: "note", Label: "Note", Hint: "reason for the current values"},
 	},
--- a/internal/oper/forms/send.go
+++ b/internal/oper/forms/send.go
@@ -123,7 +123,7 @@
 	}
 	for _, e := range change.Effects(d.Document, next, nil) {
 		if e.Grave && form.Get("confirm") == "" {
-			return 0, errors.New(e.Text + " Tick the box to send it all the same")
+			return 0, errors.New(e.Text + " Tick the box to send it anyway")
 		}
 	}
 	return change.Submit(ctx, c.cfg.Platform, d, text, author)
--- a/test.sh
+++ b/test.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Runs every test but the cases that KNOWN-RED.txt lists, and prints those.
+# Runs all tests except those listed in KNOWN-RED.txt, and prints that list.
 set -euo pipefail
 cd "$(dirname "$0")"
 skip=()
 if [ -f KNOWN-RED.txt ]; then
-	# Each level of a case's name is matched whole, so that no other case is passed over.
+	# Anchor the pattern at each level of a test name, so that no other test is skipped.
 	pattern=$(sed -n 's/^test: //p' KNOWN-RED.txt | sed 's/\//$\/^/g; s/^/^/; s/$/$/' | paste -sd '|')
 	if [ -n "$pattern" ]; then
 		echo "known red, passed over:"
